--- a/src/core/workload/catalog.rs
+++ b/src/core/workload/catalog.rs
@@ -1,4 +1,8 @@
-//! The queues and pools that operators declare.
+//! The catalog that operators declare: queues, pools, workspaces and limits on calls.
+//!
+//! From the host, path and key of a call, it finds the queue, the job and the workspace that the call is
+//! about, and decides whether the caller has access. It checks that its declarations don't contradict each
+//! other. It never holds a key itself, only the [`KeyDigest`]s.
 //!
 //! ```
 //! use egretpin::core::workload::catalog::{Catalog, Place, QueueSpec};
@@ -27,12 +31,12 @@
 };
 use crate::core::types::{Map, Name, PoolId, Set, WorkspaceId};
 
-/// Grows with each change of the catalog; operators choose it.
+/// The version of a catalog. Operators choose it, and raise it with each change.
 pub type CatalogVersion = u64;
-/// A job, under the number that its submitter chose.
+/// The number of a job, chosen by its submitter.
 pub type JobId = u64;
 
-/// What operators declare.
+/// A catalog with indexes for its lookups.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     /// Its version.
@@ -43,80 +47,80 @@
     pub pools: Vec<PoolSpec>,
     /// The workspaces.
     pub workspaces: Vec<WorkspaceSpec>,
-    /// What callers may send.
+    /// The limits on calls.
     pub limits: CallLimits,
-    /// The queues of each virtual host, longest prefix first.
+    /// The indexes of each virtual host's queues, longest prefix first.
     by_host: Map<Name, Vec<usize>>,
     by_name: Map<Name, usize>,
     by_key: Map<KeyDigest, usize>,
     by_workspace: Map<WorkspaceId, usize>,
 }
 
-/// Where jobs are submitted.
+/// A queue as operators declare it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueueSpec {
     /// Its name.
     pub name: Name,
-    /// The virtual host that it is reached under.
+    /// The virtual host under which it is reached.
     pub host: Name,
-    /// What the paths of its jobs begin with.
+    /// The prefix of its own path and of its jobs' paths.
     pub prefix: Name,
     /// How long a call may take.
     pub timeout: Duration,
-    /// What is added to the stretched chain of a job for its objective.
+    /// Added to the stretched critical path of a job to get its objective, the time that the job should take.
     pub target: Duration,
-    /// By which a job's longest chain is multiplied for its objective.
+    /// The factor by which the critical path of a job is multiplied to get its objective.
     pub stretch: f64,
-    /// 0 goes first.
+    /// The priority of its jobs; 0 is the highest.
     pub priority: u32,
     /// The pool whose hosts run its tasks.
     pub pool: PoolId,
-    /// Whether its callers must show a key of a workspace.
+    /// Whether its callers must present a key of a workspace.
     pub keyed: bool,
-    /// How often a task may fail before its job has.
+    /// The number of failed attempts of one task after which its job fails.
     pub attempts: u32,
-    /// What asking where a step may run costs, if it must be asked.
+    /// What a query for the agents that may run a step costs; `None` if no query is needed.
     pub eligibility: Option<Eligibility>,
 }
 
-/// What it takes to ask which agents may run a step.
+/// The cost of a query for the agents that may run a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Eligibility {
-    /// For each question.
+    /// The time that each query takes.
     pub decision: Duration,
-    /// For each agent asked about.
+    /// The additional time for each agent in a query.
     pub each: Duration,
-    /// How long an answer holds.
+    /// How long an answer stays valid.
     pub valid: Duration,
 }
 
-/// Hosts that run the tasks of some queues.
+/// A pool as operators declare it: the hosts that run the tasks of some queues.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolSpec {
     /// Its name.
     pub name: PoolId,
-    /// Whether its hosts are switched off, as spares for other pools.
+    /// Whether it holds spare hosts for other pools, which are switched off until needed.
     pub spare: bool,
-    /// Whether its agents refuse what doesn't fit.
+    /// Whether its agents refuse tasks that don't fit into their free capacity.
     pub guarded: bool,
 }
 
-/// What a caller may send.
+/// The limits on calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct CallLimits {
-    /// Bytes of a request's head.
+    /// The largest header section of a request, in bytes.
     pub head: usize,
-    /// Bytes of its body.
+    /// The largest body of a request, in bytes.
     pub body: usize,
-    /// How long its head may take.
+    /// How long a request's header section may take to arrive.
     pub head_time: Duration,
-    /// How long a connection may be idle.
+    /// How long a connection may stay idle.
     pub idle: Duration,
 }
 
 impl Default for CallLimits {
-    /// What holds until a catalog says otherwise: common defaults of HTTP servers.
+    /// The limits of a catalog that declares none: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             head: 16 * 1024,
@@ -127,66 +131,66 @@
     }
 }
 
-/// Why a catalog can't be taken.
+/// Why a catalog was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum CatalogError {
-    /// Two queues share a place.
+    /// Two queues share a virtual host and a prefix.
     #[snafu(display("queues {first} and {second} share host {host} and prefix {prefix}"))]
     SamePlace {
-        /// One.
+        /// The queue that is declared first.
         first: Name,
-        /// The other.
+        /// The other queue.
         second: Name,
-        /// Their host.
+        /// Their virtual host.
         host: Name,
         /// Their prefix.
         prefix: Name,
     },
     /// Two queues or pools share a name.
-    #[snafu(display("the name {name} is given twice"))]
+    #[snafu(display("the name {name} is declared twice"))]
     SameName {
         /// The name.
         name: Name,
     },
-    /// A queue names a pool that isn't there.
+    /// A queue names a pool that isn't declared.
     #[snafu(display("queue {queue} names pool {pool}, which isn't declared"))]
     UnknownPool {
-        /// Which queue.
+        /// The queue.
         queue: Name,
         /// The pool.
         pool: PoolId,
     },
-    /// A queue allows calls no time.
+    /// The timeout of a queue is 0.
     #[snafu(display("queue {queue} has a timeout of 0; give it at least a millisecond"))]
     NoTimeout {
-        /// Which queue.
+        /// The queue.
         queue: Name,
     },
-    /// Two workspaces have a key in common, so that it doesn't tell which one calls.
+    /// Two workspaces have a key in common, so that the key doesn't identify the calling workspace.
     #[snafu(display("workspaces {first} and {second} share a key; give each its own"))]
     SharedKey {
-        /// One.
+        /// The workspace that is declared first.
         first: WorkspaceId,
-        /// The other.
+        /// The other workspace.
         second: WorkspaceId,
     },
     /// A workspace is declared twice.
-    #[snafu(display("workspace {workspace} is given twice"))]
+    #[snafu(display("workspace {workspace} is declared twice"))]
     SameWorkspace {
-        /// Which.
+        /// The workspace.
         workspace: WorkspaceId,
     },
     /// A workspace has a key twice.
-    #[snafu(display("workspace {workspace} has a key twice; give each once"))]
+    #[snafu(display("workspace {workspace} lists a key twice; list each key once"))]
     RepeatedKey {
-        /// Which.
+        /// The workspace.
         workspace: WorkspaceId,
     },
 }
 
 impl CatalogError {
-    /// What of the catalog is wrong.
+    /// The part of the catalog that is wrong.
     pub fn part(&self) -> CatalogPart {
         match self {
             Self::SharedKey { .. } | Self::RepeatedKey { .. } => CatalogPart::Keys,
@@ -207,25 +211,25 @@
     Keys,
 }
 
-/// A call showed no key of any workspace, on a queue that asks for one.
+/// A call on a queue that requires a key presented none, or one that no workspace has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
-#[snafu(display("the queue asks for a key of a workspace"))]
+#[snafu(display("the queue requires the key of a workspace"))]
 pub struct Denied;
 
-/// What a path names under its queue.
+/// What the rest of a path, after the prefix of its queue, refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
     /// The queue itself.
     Queue,
     /// One of its jobs.
     Job(JobId),
-    /// Neither.
+    /// Neither the queue nor the path of a job.
     Nothing,
 }
 
 impl Catalog {
-    /// A catalog with default limits. It may be invalid: see [`Catalog::check`].
+    /// Creates a catalog with default limits and no workspaces. It may be invalid: see [`Catalog::check`].
     pub fn new(version: CatalogVersion, queues: Vec<QueueSpec>, pools: Vec<PoolSpec>) -> Self {
         let mut by_host: Map<Name, Vec<usize>> = Map::default();
         let mut by_name = Map::default();
@@ -249,7 +253,7 @@
         }
     }
 
-    /// The same with workspaces.
+    /// Sets the workspaces.
     #[must_use]
     pub fn with_workspaces(mut self, workspaces: Vec<WorkspaceSpec>) -> Self {
         for (ix, workspace) in workspaces.iter().enumerate() {
@@ -261,11 +265,11 @@
         self
     }
 
-    /// Whether it can be put in force.
+    /// Checks that the catalog is consistent and can take effect.
     ///
     /// # Errors
     ///
-    /// Names the queue, pool or workspace that is wrong, and never a key.
+    /// The error names the queue, pool or workspace that is wrong, and never a key.
     pub fn check(&self) -> Result<(), CatalogError> {
         self.check_workspaces()?;
         let mut pools: Set<&Name> = Set::default();
@@ -329,11 +333,12 @@
         self.by_key.get(&key).map(|ix| &self.workspaces[*ix])
     }
 
-    /// Whose call on a queue is, given the key that it shows; nobody's where the queue asks for none.
+    /// The workspace of a call on a queue, given the key that the call presents; `None` if the queue requires
+    /// no key.
     ///
     /// # Errors
     ///
-    /// The queue asks for a key, and none was shown or no workspace has it.
+    /// The queue requires a key, and the call presents none or one that no workspace has.
     pub fn caller(
         &self,
         queue: &QueueSpec,
@@ -346,21 +351,21 @@
         holder.map(Some).ok_or(Denied)
     }
 
-    /// Whether a caller of a workspace, or of none, may see and cancel a job: its own, those of nobody, and
-    /// those of queues that ask for no key.
+    /// Whether a caller, of a workspace or of none, may see and cancel a job. That holds for jobs of its own
+    /// workspace, for jobs without a workspace and for jobs of queues that require no key.
     pub fn may_see(&self, caller: Option<&WorkspaceSpec>, job: &Job) -> bool {
         let open = self.queue(&job.queue).is_some_and(|queue| !queue.keyed);
         let owner = job.workspace.as_ref();
         open || owner.is_none_or(|owner| caller.is_some_and(|caller| caller.name == *owner))
     }
 
-    /// What a workspace may have running; no limit if it isn't declared any more.
+    /// The cap of a workspace; no limit if the workspace isn't declared any more.
     pub fn cap(&self, workspace: &str) -> Cap {
         let found = self.by_workspace.get(workspace);
         found.map_or_else(Cap::default, |ix| self.workspaces[*ix].cap)
     }
 
-    /// The queue that a path belongs to, and what it names there.
+    /// The queue with the longest prefix of a path, and what the rest of the path refers to.
     pub fn find(&self, host: &str, path: &str) -> Option<(&QueueSpec, Place)> {
         let queues = self.by_host.get(host)?.iter().map(|ix| &self.queues[*ix]);
         let queue = queues
@@ -380,9 +385,9 @@
     }
 }
 
-/// What the rest of a path names: nothing but hexadecimal digits, 16 of them, is a job.
+/// Parses the part of a path after the prefix of its queue. A job is exactly 16 hexadecimal digits.
 fn place(rest: &str) -> Place {
-    /// Digits of a job's number.
+    /// The number of hexadecimal digits of a job's number.
     const DIGITS: usize = 16;
     if rest.is_empty() {
         return Place::Queue;
--- a/src/core/workload/command.rs
+++ b/src/core/workload/command.rs
@@ -1,4 +1,7 @@
-//! What changes the ledger, as the log carries it.
+//! The commands of the replicated log that change the ledger, with their encoding.
+//!
+//! The leader makes every decision before it proposes a command. A command holds results only, so that each
+//! node that applies it reaches the same state.
 
 use std::{fmt, net::SocketAddr};
 
@@ -20,58 +23,58 @@
     },
 };
 
-/// One change. All that is in it was decided by the leader; applying it decides nothing.
+/// One entry of the log. The leader has decided its content; applying it makes no further decisions.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Command {
-    /// Take a catalog, unless a newer one was taken.
+    /// Put a catalog in force, unless the same version or a newer one is already.
     Declare(Document),
     /// Accept a job, unless its number is taken.
     Submit(Box<Submission>),
-    /// Cancel a job, unless it is over.
+    /// Cancel a job, unless it has ended.
     Cancel(JobId),
-    /// Know an agent, or know it better.
+    /// Register an incarnation of an agent, or update what is known of it.
     Agent(Box<AgentRecord>),
-    /// An incarnation of an agent is over, and all that ran there.
+    /// An incarnation of an agent has terminated, and with it all attempts that ran there.
     Gone(MinionId),
-    /// What one round of the scheduler decided.
+    /// Apply what one round of the scheduler decided.
     Round(Round),
-    /// Take on a wave of maintenance, unless its number is taken.
+    /// Add a wave of maintenance, unless its number is taken.
     Wave(WaveRecord),
-    /// Hosts of a wave have begun their maintenance, or are there no more.
+    /// Hosts of a wave have started their maintenance, or don't exist any more.
     Maintained {
         /// The wave.
         wave: WaveId,
-        /// Which hosts.
+        /// The hosts.
         hosts: Vec<HostId>,
     },
-    /// Forget jobs that have been over for long enough.
+    /// Forget jobs that ended long enough ago.
     Forget(Vec<JobId>),
-    /// An incarnation of an agent is over, and what ran there may have ended it.
+    /// An incarnation of an agent was lost, and a task that ran there may have crashed its host.
     Crashed(Crash),
-    /// The cluster gets its id, unless it has one. Earlier releases can't read this.
+    /// Set the identity of the cluster, unless it has one. Earlier releases can't decode this command.
     Found(Cluster),
 }
 
 impl Command {
-    /// The bytes in the log.
+    /// Encodes the command for the log.
     pub fn encode(&self) -> Bytes {
         let mut bytes = Vec::new();
-        ciborium::into_writer(self, &mut bytes).expect("a vector takes every write");
+        ciborium::into_writer(self, &mut bytes).expect("writing to a Vec never fails");
         bytes.into()
     }
 
-    /// Reads what [`Command::encode`] wrote.
+    /// Decodes what [`Command::encode`] returned.
     ///
     /// # Errors
     ///
-    /// The bytes are of another release, or damaged.
+    /// The bytes were written by another release, or are damaged.
     pub fn decode(bytes: &[u8]) -> Result<Self, ciborium::de::Error<std::io::Error>> {
         ciborium::from_reader(bytes)
     }
 }
 
-/// The text of a catalog. It holds the keys of workspaces, and so isn't shown.
+/// The text of a catalog. It contains the keys of workspaces, so its `Debug` output shows only its length.
 #[derive(Clone, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(transparent)]
@@ -83,17 +86,17 @@
     }
 }
 
-/// A catalog as an operator sent it. The text isn't read here: it goes back to operators as it came.
+/// A catalog as an operator sent it. The text isn't parsed here, and is returned to operators unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Document {
-    /// The version that it names.
+    /// The version that the text declares.
     pub version: CatalogVersion,
     /// The text.
     pub text: CatalogText,
 }
 
-/// A job that a caller hands in.
+/// A job that a caller submits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Submission {
@@ -103,12 +106,12 @@
     pub queue: Name,
     /// The pool that runs the queue's tasks.
     pub pool: PoolId,
-    /// The workspace whose key its caller showed. Entries of earlier releases hold none.
+    /// The workspace whose key the caller presented. Absent in log entries of earlier releases.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<WorkspaceId>,
-    /// What it asks for.
+    /// The specification of the job.
     pub spec: JobSpec,
-    /// When the leader took it.
+    /// When the leader accepted it, by the leader's clock.
     pub accepted: Wall,
 }
 
@@ -116,33 +119,34 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct AgentRecord {
-    /// Which.
+    /// The id of the incarnation.
     pub id: MinionId,
-    /// The name of its agent, which later incarnations may have, too. Older images hold none; then the id
-    /// is the name.
+    /// The name of the agent, which its later incarnations share. Absent in snapshots of earlier releases;
+    /// then the id is the name.
     #[serde(default)]
     pub name: Name,
     /// The pool of its host.
     pub pool: PoolId,
-    /// Where it takes orders.
+    /// The address where it receives orders.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// Its labels; the last one is its rack.
     pub labels: Vec<Name>,
-    /// All that its tasks may use.
+    /// The resources that its tasks may use altogether.
     pub room: Resources,
-    /// Whether it is to end and takes no more work.
+    /// Whether it is going to shut down and accepts no more tasks.
     pub leaving: bool,
-    /// The last of its ends that was taken in.
+    /// The number of the last end of an attempt that it reported and that was applied.
     pub acked: u64,
-    /// The number of the heartbeat that said so; they rise. Older images hold none.
+    /// The number of the heartbeat that reported this; the numbers rise. Absent in snapshots of earlier
+    /// releases.
     #[serde(default)]
     pub sequence: u64,
 }
 
 impl AgentRecord {
-    /// The name of its agent.
+    /// The name of the agent.
     pub fn name(&self) -> &Name {
         if self.name.is_empty() {
             &self.id
@@ -151,8 +155,9 @@
         }
     }
 
-    /// Whether an earlier release knew an incarnation by the name of its agent alone, and this is a later
-    /// heartbeat of the same one. Their numbers begin anew with each incarnation.
+    /// Whether `known` is a record of the same incarnation that an earlier release wrote under the agent's
+    /// name instead of the incarnation's id. The numbers of heartbeats start over with each incarnation, so
+    /// that a lower number shows another incarnation.
     pub(super) fn is_later_of(&self, known: &Self) -> bool {
         known.id == self.name
             && known.id != self.id
@@ -160,12 +165,12 @@
             && known.sequence <= self.sequence
     }
 
-    /// Its rack.
+    /// The rack of its host.
     pub fn rack(&self) -> Option<&RackId> {
         self.labels.last()
     }
 
-    /// Whether a later heartbeat of the same incarnation says something new.
+    /// Whether a later heartbeat of the same incarnation reports anything that has changed.
     pub fn differs(&self, later: &Self) -> bool {
         self.pool != later.pool
             || self.address != later.address
@@ -179,34 +184,34 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Round {
-    /// Ends that agents reported.
+    /// The ends of attempts that agents reported.
     pub ends: Vec<Ends>,
-    /// Attempts that surely don't run and never will.
+    /// Attempts that are certain not to be running and never to start.
     pub freed: Vec<Placed>,
-    /// Jobs of which a task has failed too often.
+    /// Jobs that fail because a task of theirs has failed too often.
     pub failed: Vec<JobId>,
     /// New attempts.
     pub starts: Vec<Placed>,
-    /// Hosts that are about to get orders. Rounds of earlier releases hold none.
+    /// The hosts that the leader is about to send orders about. Absent in rounds of earlier releases.
     #[serde(default)]
     pub touch: Option<Touch>,
-    /// Tasks that end the hosts that run them; their jobs fail.
+    /// Poison tasks, which crash the hosts they run on; their jobs fail.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub convicted: Vec<TaskId>,
-    /// Lasting tasks that have been at work for so long that nothing is held against them any more.
+    /// Long-running tasks whose evidence is dropped, since they have run long enough without a crash.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cleared: Vec<TaskId>,
-    /// Attempts that their agents haven't said to have begun, though they were asked, or that couldn't be
-    /// sent. Rounds of earlier releases hold none.
+    /// Attempts that their agents haven't reported as started, although they were asked, and attempts whose
+    /// order couldn't be sent. Absent in rounds of earlier releases.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub unbegun: Vec<Placed>,
-    /// When it was decided, by the leader's clock. Rounds of earlier releases say nothing.
+    /// When the round was decided, by the leader's clock. Absent in rounds of earlier releases.
     #[serde(default)]
     pub at: Wall,
 }
 
 impl Round {
-    /// Whether nothing was decided.
+    /// Whether the round changes nothing.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
             && self.freed.is_empty()
@@ -219,41 +224,41 @@
     }
 }
 
-/// An attempt of a task at an agent.
+/// The placement of one attempt of a task at an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Placed {
     /// The task.
     pub task: TaskId,
-    /// Which attempt.
+    /// The number of the attempt.
     pub attempt: Attempt,
     /// The agent.
     pub agent: MinionId,
 }
 
-/// Ends that one agent reported, in order.
+/// Ends of attempts that one agent reported, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ends {
     /// The agent.
     pub agent: MinionId,
-    /// The number of the last one.
+    /// The number of the last end in the batch.
     pub through: u64,
     /// The ends.
     pub ends: Vec<End>,
 }
 
-/// How an attempt ended.
+/// The end of one attempt, as its agent reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct End {
     /// The task.
     pub task: TaskId,
-    /// Which attempt.
+    /// The number of the attempt.
     pub attempt: Attempt,
-    /// How.
+    /// How it ended.
     pub how: Ending,
-    /// From where another attempt may go on.
+    /// The checkpoint from which another attempt may resume.
     pub checkpoint: Option<Name>,
 }
 
@@ -263,15 +268,15 @@
 pub enum Ending {
     /// The task is done.
     Done,
-    /// It failed, by its own fault or the agent's.
+    /// The attempt failed, through a fault of its own or of the agent.
     Failed,
-    /// It was stopped.
+    /// The attempt was stopped.
     Stopped,
-    /// The agent's lease ran out.
+    /// The agent's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another task of its gang ended.
     Broken,
-    /// Its gang never came together.
+    /// The tasks of its gang were never all running.
     Alone,
 }
 
@@ -279,12 +284,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct WaveRecord {
-    /// Its number, which the operator chose.
+    /// The number of the wave, which the operator chose.
     pub wave: WaveId,
-    /// The hosts that still have to begin their maintenance.
+    /// The hosts that haven't started their maintenance yet.
     pub left: Vec<HostId>,
-    /// At most so many at once.
+    /// The most hosts of the wave that may be in maintenance at once.
     pub cap: u32,
-    /// When it has to be through, by the clock of the leader that took it.
+    /// When the wave has to be finished, by the clock of the leader that accepted it.
     pub until: Wall,
 }
--- a/src/core/workload/job.rs
+++ b/src/core/workload/job.rs
@@ -1,4 +1,7 @@
-//! A job as the ledger keeps it.
+//! A job as the ledger stores it: its state, its occurrences and their tasks.
+//!
+//! The types here hold state only. The [`ledger`](super::ledger) changes it when it applies commands; nothing
+//! here decides what to start or to stop.
 
 use std::{collections::BTreeMap, fmt, sync::Arc};
 
@@ -17,13 +20,13 @@
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// Which firing of it.
+    /// The occurrence of the job.
     pub occurrence: Occurrence,
-    /// Which step.
+    /// The index of the step.
     pub step: StepIx,
 }
 
-/// One task.
+/// One task of one occurrence of a job.
 ///
 /// Displayed and parsed as `JOB.OCCURRENCE.STEP.TASK`, the job in 16 hexadecimal digits.
 ///
@@ -37,14 +40,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 pub struct TaskId {
-    /// Its step.
+    /// The step of the task.
     pub step: StepId,
-    /// Which of the step's tasks.
+    /// The index of the task in its step.
     pub task: TaskIx,
 }
 
 impl TaskId {
-    /// Reads what `Display` writes.
+    /// Parses the format that `Display` writes.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('.');
         let job = JobId::from_str_radix(parts.next()?, 16).ok()?;
@@ -72,13 +75,13 @@
     }
 }
 
-/// What a submitter is told of its job.
+/// The state of a job, as its submitter sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum JobState {
-    /// No task of it has been started.
+    /// No task has been placed yet.
     Queued,
-    /// Some have.
+    /// At least one task has been placed.
     Running,
     /// All its tasks are done.
     Completed,
@@ -88,31 +91,34 @@
     Cancelled,
 }
 
-/// A job that was accepted.
+/// An accepted job.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Job {
     /// Its queue.
     pub queue: Name,
-    /// The pool that ran the queue's tasks when it was accepted; counts if the queue is gone.
+    /// The pool that ran the queue's tasks when the job was accepted. Used once the catalog doesn't declare
+    /// the queue any more.
     pub pool: PoolId,
-    /// The workspace that it is of. Older images hold none.
+    /// The workspace that it belongs to. Absent in snapshots of earlier releases.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<WorkspaceId>,
-    /// What it asks for.
+    /// Its specification.
     pub spec: Arc<JobSpec>,
-    /// When it was accepted, by the clock of the leader of that time.
+    /// When it was accepted, by the clock of the leader at that time.
     pub accepted: Wall,
-    /// Where it stands.
+    /// Its state.
     pub state: JobState,
-    /// Its occurrences that have begun and aren't finished.
+    /// Its occurrences that have started. Once an occurrence is finished, or the job has ended, its steps are
+    /// dropped as soon as none of its tasks is placed.
     pub runs: BTreeMap<Occurrence, Run>,
-    /// How many occurrences are finished.
+    /// The number of finished occurrences.
     pub finished: Occurrence,
-    /// The hosts that ended under its short tasks. Older images hold none.
+    /// The crashes of hosts under its batch tasks. Absent in snapshots of earlier releases.
     #[serde(default, skip_serializing_if = "Evidence::is_none")]
     pub evidence: Evidence,
-    /// The task that it failed for, since it ends the hosts that run it. Older images hold none.
+    /// The poison task that made the job fail, if one did: it crashes the hosts it runs on. Absent in
+    /// snapshots of earlier releases.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub convicted: Option<TaskId>,
 }
@@ -121,48 +127,50 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Run {
-    /// Its steps, as in the job.
+    /// Its steps, in the order of the specification.
     pub steps: Vec<Step>,
 }
 
-/// A step of an occurrence.
+/// One step of an occurrence.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Step {
-    /// How many of its tasks are done.
+    /// The number of its tasks that are done.
     pub done: TaskIx,
     /// Its tasks.
     pub tasks: Vec<Task>,
 }
 
-/// A task.
+/// One task of a step.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Task {
-    /// The last attempt that was decided; 0 if none was.
+    /// The number of the last attempt that was placed; 0 if none was.
     pub attempt: Attempt,
-    /// How many attempts have failed.
+    /// The number of attempts that have failed.
     pub failures: u32,
-    /// The agent that the last attempt was given to, until its end is taken in.
+    /// The agent where the last attempt is placed, until the end of that attempt is applied.
     pub agent: Option<MinionId>,
     /// Whether it is done.
     pub done: bool,
-    /// From where the next attempt goes on.
+    /// The checkpoint from which the next attempt resumes.
     pub checkpoint: Option<Name>,
-    /// When the last attempt was decided, by the clock of the leader of that time. Older images hold none.
+    /// When the last attempt was placed, by the clock of the leader at that time. Absent in snapshots of
+    /// earlier releases.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub began: Option<Wall>,
-    /// Whether the leader that decided the last attempt got no word that it began. Older images hold none.
+    /// Whether the leader that placed the last attempt received no report that it started. Absent in
+    /// snapshots of earlier releases.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub unbegun: bool,
-    /// The hosts that ended under it; if it is short and any did, all that ended under short tasks of its
-    /// job. Older images hold none.
+    /// The crashes of hosts under this task. For a batch task with at least one crash, it includes all crashes
+    /// under batch tasks of its job. Absent in snapshots of earlier releases.
     #[serde(default, skip_serializing_if = "Evidence::is_none")]
     pub evidence: Evidence,
 }
 
 impl Job {
-    /// A job that was accepted just now.
+    /// Creates a job without a workspace that has just been accepted.
     pub fn new(queue: Name, pool: PoolId, spec: JobSpec, accepted: Wall) -> Self {
         Self {
             queue,
@@ -178,12 +186,12 @@
         }
     }
 
-    /// Whether nothing of it may be started any more.
+    /// Whether the job has ended: none of its tasks may start any more.
     pub fn is_over(&self) -> bool {
         !matches!(self.state, JobState::Queued | JobState::Running)
     }
 
-    /// A task, if its occurrence has begun and isn't finished.
+    /// A task, if its occurrence has started and its steps haven't been dropped.
     pub fn task(&self, id: TaskId) -> Option<&Task> {
         let step = self.step(id.step)?;
         step.tasks.get(usize::try_from(id.task).ok()?)
@@ -195,13 +203,14 @@
         step.tasks.get_mut(usize::try_from(id.task).ok()?)
     }
 
-    /// Whether a task is done some time.
+    /// Whether a task is a batch task, which finishes; long-running tasks run until the job is cancelled.
     pub(super) fn is_short(&self, id: TaskId) -> bool {
         let spec = self.spec.steps.get(usize::from(id.step.step));
         spec.is_some_and(|spec| !spec.lasting)
     }
 
-    /// Nothing is held against its short tasks once all are done that hosts have ended under.
+    /// Drops the evidence that its batch tasks share, once all batch tasks under which hosts have crashed are
+    /// done.
     pub(super) fn acquit(&mut self, id: JobId) {
         if self.evidence.is_none() {
             return;
@@ -211,13 +220,13 @@
         }
     }
 
-    /// A step, if its occurrence has begun and isn't finished.
+    /// A step, if its occurrence has started and its steps haven't been dropped.
     pub fn step(&self, id: StepId) -> Option<&Step> {
         let run = self.runs.get(&id.occurrence)?;
         run.steps.get(usize::from(id.step))
     }
 
-    /// An occurrence, begun if it hasn't; `None` if the job has no such one.
+    /// An occurrence, which is created if it hasn't started yet; `None` if the job has no such occurrence.
     pub(super) fn run_mut(&mut self, occurrence: Occurrence) -> Option<&mut Run> {
         if occurrence >= self.spec.occurrences() {
             return None;
@@ -230,7 +239,7 @@
         )
     }
 
-    /// The tasks that are placed, and where, if the job has this number.
+    /// The tasks that are placed, each with its agent. `id` is the number of this job.
     pub fn placements(&self, id: JobId) -> impl Iterator<Item = (TaskId, MinionId)> + '_ {
         self.runs.iter().flat_map(move |(&occurrence, run)| {
             run.steps.iter().enumerate().flat_map(move |(step, tasks)| {
@@ -248,7 +257,8 @@
         })
     }
 
-    /// The tasks that hosts have ended under and that aren't done, if the job has this number.
+    /// The tasks that aren't done and under which hosts have crashed, each with its evidence. `id` is the
+    /// number of this job.
     pub fn evidence(&self, id: JobId) -> impl Iterator<Item = (TaskId, Evidence)> + '_ {
         self.runs.iter().flat_map(move |(&occurrence, run)| {
             (0..).zip(&run.steps).flat_map(move |(step, tasks)| {
@@ -264,7 +274,7 @@
         })
     }
 
-    /// Whether the steps before a step are all done.
+    /// Whether all steps that a step depends on are done.
     pub fn is_open(&self, id: StepId) -> bool {
         let Some(spec) = self.spec.steps.get(usize::from(id.step)) else {
             return false;
@@ -286,7 +296,7 @@
         Self { steps }
     }
 
-    /// Whether all its tasks are done. Those of a finished one may have been dropped.
+    /// Whether all its tasks are done. Holds also for an occurrence whose steps have been dropped.
     pub fn is_finished(&self) -> bool {
         self.steps.iter().all(Step::is_done)
     }
@@ -297,7 +307,7 @@
         tasks.all(|t| t.agent.is_none())
     }
 
-    /// Whether all tasks of a step are done.
+    /// Whether all tasks of a step are done. False if the steps have been dropped.
     pub fn is_done(&self, step: StepIx) -> bool {
         let step = self.steps.get(usize::from(step));
         step.is_some_and(Step::is_done)
@@ -310,7 +320,7 @@
         usize::try_from(self.done).is_ok_and(|done| done >= self.tasks.len())
     }
 
-    /// How often its tasks have failed, all together.
+    /// The number of failed attempts of all its tasks together.
     pub fn failures(&self) -> u32 {
         self.tasks.iter().map(|t| t.failures).sum()
     }
--- a/src/core/workload/ledger.rs
+++ b/src/core/workload/ledger.rs
@@ -1,8 +1,10 @@
-//! The replicated state machine of jobs.
+//! The replicated state machine of jobs and agents.
 //!
-//! Applying a [`Command`] is deterministic and decides nothing but races: a job's number that is
-//! taken, an older catalog, an end of an attempt that was superseded. It returns what changed, so
-//! that the leader's scheduler needs to look at nothing else.
+//! Each node applies the same log of [`Command`]s and reaches the same state. Applying a command is
+//! deterministic: it reads no clock and makes no scheduling decisions. It resolves only races between
+//! commands, such as a submission whose number is taken, a catalog older than the one in force, or the end of
+//! an attempt that has been superseded. It returns the list of [`Change`]s, which is all that the leader's
+//! scheduler needs to follow the state.
 //!
 //! ```
 //! use std::time::Duration;
@@ -24,7 +26,7 @@
 //!     accepted: Duration::ZERO,
 //! }));
 //! assert_eq!(ledger.apply(1, &submit), [Change::Accepted(7)]);
-//! // A resend is the same job.
+//! // A repeated submission changes nothing.
 //! assert!(ledger.apply(2, &submit).is_empty());
 //! assert_eq!(ledger.job(7).map(|job| job.state), Some(JobState::Queued));
 //! assert_eq!(ledger.pending("alerts"), 1);
@@ -51,79 +53,81 @@
     types::{Attempt, HostId, MinionId, Name, Resources, Wall, WaveId, WorkspaceId},
 };
 
-/// How many of the incarnations that are over are remembered, the last ones. Each takes some 15 bytes
-/// of an image.
+/// The most terminated incarnations of agents that are remembered; the oldest are forgotten first. Each takes
+/// about 15 bytes of a snapshot.
 ///
-/// A heartbeat may come later than its sender's end by as long as a cut lasts. Where 500 hosts each
-/// lose an agent every ten seconds, these are the ends of 80 seconds. One that was forgotten does no
-/// harm by itself: whoever is heard for the first time has to answer at its address before anything
-/// hangs on it.
+/// A heartbeat may arrive after the end of its sender, by as long as a network partition lasts. If 500 hosts
+/// each lose an agent every ten seconds, this covers the last 80 seconds. Forgetting an incarnation does no
+/// harm by itself: an agent that is heard for the first time has to answer at its address before anything
+/// depends on it.
 const OVER: usize = 4096;
 
-/// What a command changed.
+/// A change of the state, reported to the leader's scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Another catalog is in force.
     Declared,
     /// A job was accepted.
     Accepted(JobId),
-    /// A job is over; what is placed of it must be stopped.
+    /// A job has ended; its attempts that are still placed must be stopped.
     Over(JobId),
-    /// All steps before a step are done.
+    /// All steps that a step depends on are done.
     Opened(StepId),
-    /// A task was given to an agent.
+    /// An attempt of a task was placed at an agent.
     Placed(Placed),
-    /// An attempt doesn't run any more.
+    /// An attempt isn't placed any more: it ended, or is certain not to run.
     Vacated {
         /// The attempt.
         placed: Placed,
-        /// Whether the task needs another one.
+        /// Whether the task needs another attempt.
         again: bool,
     },
-    /// A task is done, whichever attempt did it: it never runs again.
+    /// A task is done, whichever attempt did it. It never runs again.
     Done {
         /// The task.
         task: TaskId,
-        /// Whether the attempt had been given up before.
+        /// Whether the attempt that did it had been abandoned or superseded before.
         late: bool,
     },
-    /// The task of a placed attempt was done by another one.
+    /// The task of a placed attempt was done by another attempt, so that this one isn't needed any more.
     Superfluous(Placed),
-    /// All ends of an agent up to this one were taken in.
+    /// All ends that an agent reported, up to this one, have been applied.
     Acked {
         /// The agent.
         agent: MinionId,
         /// The number of the end.
         through: u64,
     },
-    /// A host has ended under a task, and nothing else is known to have ended it.
+    /// The evidence against a task: a host crashed under it, or under a batch task of its job, and no other
+    /// cause is known.
     Suspected(TaskId, Evidence),
-    /// A job has failed, since a task of it ends the hosts that run it.
+    /// A job has failed because of this poison task, which crashes the hosts it runs on.
     Convicted(TaskId),
-    /// An agent is known, or known better.
+    /// An agent was registered, or its record was updated.
     Agent(MinionId),
-    /// What is placed at an incarnation that was known by its agent's name is at this one: it is the same.
+    /// An incarnation that was recorded under its agent's name is now recorded under an id of its own. What
+    /// is placed there is unaffected.
     Renamed {
-        /// Before.
+        /// The name of the agent.
         from: MinionId,
-        /// From now on.
+        /// The id of the incarnation.
         to: MinionId,
     },
-    /// An agent is over.
+    /// An incarnation of an agent has terminated.
     Gone(MinionId),
-    /// A wave was taken on, or got on.
+    /// A wave of maintenance was added, or has fewer hosts left.
     Wave(WaveId),
 }
 
-/// An incarnation of an agent that is over, and the last of its heartbeats that was committed.
+/// A terminated incarnation of an agent, with the number of its last committed heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 struct Ended(MinionId, HeartbeatNumber);
 
-/// The number of a heartbeat among those of its incarnation.
+/// The number of a heartbeat of one incarnation.
 type HeartbeatNumber = u64;
 
-/// What is known of jobs and agents.
+/// The replicated state of jobs and agents.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ledger {
@@ -132,34 +136,35 @@
     jobs: BTreeMap<JobId, Job>,
     agents: BTreeMap<MinionId, AgentRecord>,
     waves: BTreeMap<WaveId, WaveRecord>,
-    /// Incarnations that are over, the last one last. Older images hold none.
+    /// Terminated incarnations of agents, the latest last. Absent in snapshots of earlier releases.
     #[serde(default)]
     over: VecDeque<Ended>,
-    /// Hosts that leaders gave orders about lately. Older images hold none.
+    /// The hosts that leaders have recently sent orders about. Absent in snapshots of earlier releases.
     #[serde(default)]
     touched: Touched,
-    /// How often hosts were seen to end by themselves. Older images hold none.
+    /// How often hosts crash by themselves. Absent in snapshots of earlier releases.
     #[serde(default)]
     seen: Seen,
-    /// How likely a job of each queue ends its hosts, if any did. Older images hold none.
+    /// For each queue that has had a poison job, how likely its jobs are poison. Absent in snapshots of
+    /// earlier releases.
     #[serde(default)]
     odds: BTreeMap<Name, Odds>,
-    /// The cluster that it is of. Older images hold none.
+    /// The identity of the cluster. Absent in snapshots of earlier releases.
     #[serde(default)]
     cluster: Option<Cluster>,
-    /// Derived: jobs of each queue of which nothing has been started.
+    /// Derived: the number of queued jobs of each queue, those without any task placed so far.
     #[serde(skip)]
     pending: BTreeMap<Name, u64>,
-    /// Derived: what is placed at each agent.
+    /// Derived: the tasks that are placed at each agent.
     #[serde(skip)]
     placed: BTreeMap<MinionId, BTreeSet<TaskId>>,
-    /// Derived: what the tasks that are placed need, by the workspace that they are of.
+    /// Derived: for each workspace, the total resources of its placed tasks.
     #[serde(skip)]
     used: BTreeMap<WorkspaceId, Resources>,
 }
 
 impl Ledger {
-    /// Applies the command at an index of the log.
+    /// Applies the command at an index of the log, and returns what it changed.
     pub fn apply(&mut self, index: Index, command: &Command) -> Vec<Change> {
         self.applied = index;
         let mut changes = Vec::new();
@@ -181,101 +186,101 @@
         changes
     }
 
-    /// The index that was applied last.
+    /// The index of the last applied command.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// The cluster that it is of, once it has an id.
+    /// The identity of the cluster, once it is set.
     pub fn cluster(&self) -> Option<&Cluster> {
         self.cluster.as_ref()
     }
 
-    /// The catalog in force, as it was sent.
+    /// The catalog in force, as the operator sent it.
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
     }
 
-    /// A job that is known.
+    /// A job by its number.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// All jobs that are known, in order of their numbers.
+    /// All jobs, in order of their numbers.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// An agent that is known.
+    /// The record of an agent's incarnation.
     pub fn agent(&self, id: &MinionId) -> Option<&AgentRecord> {
         self.agents.get(id)
     }
 
-    /// All agents that are known, in order of their ids.
+    /// The records of all agents, in order of their ids.
     pub fn agents(&self) -> impl Iterator<Item = &AgentRecord> {
         self.agents.values()
     }
 
-    /// Whether an agent's heartbeat is of an incarnation that is remembered to be over, and no later
-    /// than what was heard of it before. One that was taken for gone and lives sends later ones; it
-    /// has to answer at its address like any newcomer.
+    /// Whether a heartbeat is stale: its incarnation is remembered as terminated, and the heartbeat is no later
+    /// than the last committed one. An incarnation that was declared terminated by mistake sends later
+    /// heartbeats; it has to answer at its address like a new agent.
     pub fn is_over(&self, record: &AgentRecord) -> bool {
         let ended = self.over.iter().find(|Ended(agent, _)| *agent == record.id);
         ended.is_some_and(|Ended(_, last)| record.sequence <= *last)
     }
 
-    /// What is placed at an agent.
+    /// The tasks that are placed at an agent.
     pub fn placed(&self, agent: &MinionId) -> impl Iterator<Item = TaskId> + '_ {
         self.placed.get(agent).into_iter().flatten().copied()
     }
 
-    /// How many jobs of a queue wait for their first task to be started.
+    /// The number of queued jobs of a queue, those without any task placed so far.
     pub fn pending(&self, queue: &str) -> u64 {
         self.pending.get(queue).copied().unwrap_or_default()
     }
 
-    /// A wave that is known.
+    /// A wave of maintenance by its number.
     pub fn wave_record(&self, wave: WaveId) -> Option<&WaveRecord> {
         self.waves.get(&wave)
     }
 
-    /// All waves that are known, in order of their numbers.
+    /// All waves of maintenance, in order of their numbers.
     pub fn waves(&self) -> impl Iterator<Item = &WaveRecord> {
         self.waves.values()
     }
 
-    /// Hosts that leaders may have given orders about lately.
+    /// The hosts that leaders may have recently sent orders about.
     pub fn touched(&self) -> &Touched {
         &self.touched
     }
 
-    /// How often hosts were seen to end by themselves when the last one ended.
+    /// How often hosts crash by themselves, as of the last crash.
     pub fn seen(&self) -> Seen {
         self.seen
     }
 
-    /// How likely a job of a queue ends the hosts that run it.
+    /// How likely a job of a queue is poison: that it crashes the hosts it runs on.
     pub fn odds(&self, queue: &str) -> Odds {
         self.odds.get(queue).copied().unwrap_or_default()
     }
 
-    /// Whether jobs of any queue do so.
+    /// Whether the jobs of any queue are poison with more than a negligible probability.
     pub fn has_odds(&self) -> bool {
         self.odds.values().any(|odds| !odds.is_none())
     }
 
-    /// The bytes of a snapshot.
+    /// Encodes a snapshot of the state.
     pub fn image(&self) -> Payload {
         let mut bytes = Vec::new();
-        ciborium::into_writer(self, &mut bytes).expect("a vector takes every write");
+        ciborium::into_writer(self, &mut bytes).expect("writing to a Vec never fails");
         bytes.into()
     }
 
-    /// Reads what [`Ledger::image`] wrote.
+    /// Restores the state from what [`Ledger::image`] returned.
     ///
     /// # Errors
     ///
-    /// The bytes are of another release, or damaged.
+    /// The bytes were written by another release, or are damaged.
     pub fn from_image(bytes: &[u8]) -> Result<Self, ciborium::de::Error<std::io::Error>> {
         let mut ledger: Self = ciborium::from_reader(bytes)?;
         ledger.index();
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Counts a task for or against what its workspace uses.
+    /// Adds or subtracts the resources of a task in the usage of its workspace.
     fn count(&mut self, id: TaskId, change: impl Fn(&Resources, &Resources) -> Resources) {
         let Some((workspace, need)) = self.claim(id) else {
             return;
@@ -306,14 +311,14 @@
         *used = change(used, &need);
     }
 
-    /// What a task takes of which workspace's cap.
+    /// The workspace that a task belongs to, and the resources that count against its cap.
     fn claim(&self, id: TaskId) -> Option<(WorkspaceId, Resources)> {
         let job = self.jobs.get(&id.step.job)?;
         let spec = job.spec.steps.get(usize::from(id.step.step))?;
         Some((job.workspace.clone()?, spec.need))
     }
 
-    /// What the tasks of a workspace need that run or may.
+    /// The total resources of a workspace's tasks that run or may run.
     pub fn used(&self, workspace: &str) -> Resources {
         self.used.get(workspace).copied().unwrap_or_default()
     }
@@ -366,7 +371,7 @@
         self.agents.insert(record.id.clone(), record);
     }
 
-    /// Knows an incarnation, so far known by its agent's name, by an id of its own.
+    /// Records an incarnation, which was recorded under its agent's name so far, under an id of its own.
     fn rename(&mut self, mut record: AgentRecord, changes: &mut Vec<Change>) {
         let (from, to) = (record.name().clone(), record.id.clone());
         if let Some(known) = self.agents.remove(&from) {
@@ -386,7 +391,7 @@
 
     fn bury(&mut self, agent: &MinionId, changes: &mut Vec<Change>) {
         let known = self.agents.get(agent);
-        // Its end may be heard before its first heartbeat.
+        // The end of an incarnation may be committed before its first heartbeat.
         if known.is_some() || self.over.iter().all(|Ended(over, _)| over != agent) {
             let last = known.map_or(0, |known| known.sequence);
             self.over.push_back(Ended(agent.clone(), last));
@@ -422,7 +427,7 @@
             if !job.is_short(id) {
                 evidence.note(present.weight, present.worked);
             } else {
-                // The short tasks of a job are alike, and this is one host.
+                // The batch tasks of a job are alike, so that a crash under several of them counts once.
                 if judged.insert(id.step.job) {
                     job.evidence.note(present.weight, present.worked);
                     let others = job.evidence(id.step.job).map(|(other, _)| other);
@@ -495,10 +500,10 @@
         });
     }
 
-    /// Takes in an end that an agent listed.
+    /// Applies the end of an attempt that an agent reported.
     ///
-    /// It is of an attempt that is placed there, or at an earlier incarnation: orders name the agent, so that
-    /// the next one may have carried it out.
+    /// The attempt is placed at this incarnation or at an earlier one of the same agent. Orders address the
+    /// agent by name, so that a later incarnation may have carried out an order to an earlier one.
     fn take_end(&mut self, agent: &MinionId, end: &End, changes: &mut Vec<Change>) {
         let holder = self.task(end.task).filter(|t| t.attempt == end.attempt);
         let holder = holder.and_then(|task| task.agent.clone());
@@ -521,16 +526,16 @@
         }
     }
 
-    /// Whether two incarnations are of one agent.
+    /// Whether two incarnations belong to the same agent.
     fn are_one_agent(&self, one: &MinionId, other: &MinionId) -> bool {
         let name = |id| self.agents.get(id).map(AgentRecord::name);
         one == other || name(one).is_some_and(|one| Some(one) == name(other))
     }
 
-    /// A task is done, whichever attempt did it; with it its whole gang.
+    /// Marks a task as done, whichever attempt did it, and with it all tasks of its gang.
     ///
-    /// An attempt that was given up when its agent's lease ran out may turn out to have been done
-    /// before; the one that was placed since isn't needed then.
+    /// An attempt that was abandoned when its agent's lease expired may turn out to have completed before
+    /// that. The attempt that was placed since then is redundant.
     fn done(&mut self, id: TaskId, attempt: Attempt, changes: &mut Vec<Change>) {
         let StepId {
             job, occurrence, ..
@@ -542,7 +547,7 @@
         let Some(spec) = found.spec.steps.get(step).cloned() else {
             return;
         };
-        // What lasts is never done; an agent that says so lets it be started again.
+        // A long-running task is never done. If its agent reports it as done, it is started again.
         if spec.lasting {
             return;
         }
@@ -579,7 +584,7 @@
         }
         for (ix, later) in found.spec.steps.iter().enumerate() {
             let follows = later.after.iter().any(|&b| usize::from(b) == step);
-            // Nothing follows in a job that was cancelled or has failed.
+            // In a job that was cancelled or has failed, no further step becomes ready.
             if !over && follows && later.after.iter().all(|&b| run.is_done(b)) {
                 changes.push(Change::Opened(StepId {
                     job,
@@ -679,7 +684,7 @@
         }
     }
 
-    /// Takes a task from an agent in the indexes and in its job.
+    /// Removes the placement of a task at an agent, from the indexes and from the job.
     fn unplace(&mut self, id: TaskId, agent: &MinionId) {
         self.unindex(id, agent);
         if let Some(task) = self.task_mut(id) {
@@ -694,7 +699,7 @@
         }
     }
 
-    /// Says that an attempt doesn't run any more.
+    /// Reports that an attempt isn't placed any more, after clearing its placement in the job.
     fn vacate(&mut self, id: TaskId, agent: &MinionId, changes: &mut Vec<Change>) {
         let Some(job) = self.jobs.get(&id.step.job) else {
             return;
@@ -714,7 +719,8 @@
         self.slim(id.step.job);
     }
 
-    /// Drops what a job doesn't need any more: the tasks of what is over, unless some may still run.
+    /// Drops the steps of a job's finished occurrences, or of all occurrences if the job has ended. An
+    /// occurrence with a task that may still run keeps its steps.
     fn slim(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -763,7 +769,7 @@
 }
 
 impl Job {
-    /// Holds this against a task, besides the hosts that ended under itself.
+    /// Replaces the evidence against a task, except for that of crashes under the task itself.
     fn hold(&mut self, id: TaskId, evidence: Evidence, changes: &mut Vec<Change>) {
         if let Some(task) = self.task_mut(id) {
             let own = task.evidence.own;
--- a/src/core/workload/mod.rs
+++ b/src/core/workload/mod.rs
@@ -1,21 +1,23 @@
 //! Jobs as graphs of steps, and the agents that run their tasks.
 //!
-//! A *job* is submitted to a *queue* and consists of *steps*; a step has a number of like *tasks*,
-//! and may begin once all tasks of the steps before it are done. A task is run by an *agent*, one
-//! incarnation of a program on a host of the queue's *pool*. Every try to run a task has an
-//! *attempt* number that rises, and that is committed before the agent is told.
+//! A *job* is submitted to a *queue* and consists of *steps*. A step has a number of identical *tasks*,
+//! which may start once all tasks of the steps it depends on are done. A task is run by an *agent*, one
+//! incarnation of a program on a host of the queue's *pool*. Each *attempt* to run a task has a number,
+//! which rises with every attempt and is committed before the order to start goes out to the agent.
 //!
-//! - [`spec`] declares a job, [`catalog`] the queues and pools, [`workspace`] who calls and how much runs;
-//! - the [`ledger`] is the replicated state machine: what was accepted, which attempt of each task
-//!   is placed where, which ends were taken in;
-//! - the [`scheduler`] runs on the leader alone. It decides what to start, renew and stop, and is
-//!   built anew from the ledger by each leader.
+//! - [`spec`] declares a job, [`catalog`] the queues and pools, [`workspace`] the callers and the limits on
+//!   what they may have running.
+//! - [`command`] holds the entries of the replicated log, [`job`] a job with its tasks as the ledger stores it.
+//! - [`ledger`] is the replicated state machine: which jobs were accepted, at which agent the last attempt of
+//!   each task is placed, and which ends of attempts have been applied.
+//! - [`scheduler`] runs on the leader only. It decides which attempts to start and stop and which leases to
+//!   renew. Each new leader rebuilds it from the ledger.
+//! - [`suspicion`] weighs the evidence against tasks that may crash the hosts they run on, and [`odds`]
+//!   estimates how likely the next jobs of a queue do so.
+//! - [`touched`] records which hosts a leader is about to send orders about.
 //!
-//! [`suspicion`] tells what is known of tasks that end the hosts that run them, [`odds`] how likely the next
-//! jobs of a queue are such, and [`touched`] which hosts a leader has ordered something about.
-//!
-//! Nothing in here does I/O. Whoever drives it commits the [`Command`](command::Command)s that the
-//! scheduler proposes and carries out its [`Order`](scheduler::Order)s.
+//! This module does no I/O. Its driver commits the [`Command`](command::Command)s that the scheduler proposes
+//! and carries out its [`Order`](scheduler::Order)s.
 
 pub mod catalog;
 pub mod command;
--- a/src/core/workload/odds.rs
+++ b/src/core/workload/odds.rs
@@ -1,11 +1,13 @@
-//! How likely a job of a queue ends the hosts that run it.
+//! The probability that a job of a queue is a poison job, which crashes the hosts it runs on.
 //!
-//! The jobs of a queue are much alike: where some of the last ones were convicted, the next one may do the
-//! same. So it is learnt, for each queue, which part of the jobs that were decided lately was convicted.
-//! It decides how many jobs of the queue that nothing is known of share a host: an end under one of them
-//! costs all of them the host, and one under many tells little of each.
+//! The jobs of a queue are much alike: if some of the last ones were poison, the next one may be, too. So the
+//! ledger keeps, for each queue, an exponential moving average of the fraction of poison jobs among those
+//! that recently completed or failed as poison. It bounds how many jobs of the queue without any evidence for
+//! or against them share a host: if one of them crashes the host, all of them lose it, and a crash under many
+//! jobs tells little about each.
 //!
-//! The odds are in the ledger, so that a leader which ends in the midst of a storm loses none of them.
+//! The average is in the ledger, so that a change of the leader in the middle of a series of crashes loses
+//! none of it.
 //!
 //! ```
 //! use egretpin::core::workload::odds::Odds;
@@ -25,38 +27,38 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The whole of a queue's jobs.
+/// The fraction 1 in fixed-point representation.
 const WHOLE: u32 = 1 << 16;
-/// The part of the odds that one job is.
+/// The span of the moving average in jobs: each job changes it by one part in this many.
 const SHARE: u32 = 16;
-/// Below one in so many, jobs run together as if there were no such ones.
+/// If fewer than one in this many jobs are poison, jobs share hosts as if there were none.
 const RARE: u32 = 50;
 
-/// The part of a queue's jobs that were convicted lately, of those that were decided.
+/// The fraction of poison jobs among the recent jobs of a queue that completed or failed as poison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Odds(u32);
 
 impl Odds {
-    /// Another job was convicted, or completed.
+    /// Records a job that failed as poison (`convicted`) or completed.
     pub fn note(&mut self, convicted: bool) {
         let next = if convicted { WHOLE } else { 0 };
-        // Whole numbers, as all nodes must find the same.
+        // Integer arithmetic, since all nodes must reach the same result.
         self.0 = (self.0 * (SHARE - 1) + next) / SHARE;
     }
 
-    /// The part, from 0 to 1.
+    /// The fraction, from 0 to 1.
     pub fn chance(self) -> f64 {
         f64::from(self.0) / f64::from(WHOLE)
     }
 
-    /// Whether so few were convicted that the next one is taken for innocent.
+    /// Whether so few jobs were poison that the next one is presumed harmless.
     pub fn is_none(self) -> bool {
         self.0 < WHOLE / RARE
     }
 
-    /// How many jobs that nothing is known of share a host at most, if that is bounded: as many as cost the
-    /// fewest hosts for each that is told apart.
+    /// The most jobs without any evidence that may share a host; `None` if that is unbounded. With this number,
+    /// telling poison from harmless jobs costs the fewest host crashes per job.
     pub fn together(self) -> Option<usize> {
         let most = self.chance().sqrt().recip() as usize;
         (!self.is_none()).then_some(most.max(1))
--- a/src/core/workload/spec.rs
+++ b/src/core/workload/spec.rs
@@ -1,4 +1,8 @@
-//! What a job asks for.
+//! The specification of a job as its submitter sends it, and its validation.
+//!
+//! A job is a directed acyclic graph of steps: each step names the earlier steps that it depends on. This
+//! module checks the graph and computes the duration of its critical path. It doesn't decide where or when
+//! tasks run.
 //!
 //! ```
 //! use std::time::Duration;
@@ -19,120 +23,124 @@
 
 use crate::core::types::{Name, RackId, Resources, Wall};
 
-/// The place of a step in its job.
+/// The index of a step in its job.
 pub type StepIx = u16;
-/// The place of a task in its step.
+/// The index of a task in its step.
 pub type TaskIx = u32;
-/// Which firing of a recurring job; 0 for all others.
+/// The number of an occurrence of a recurring job, from 0; always 0 for a job that runs once.
 pub type Occurrence = u32;
 
-/// Bytes that a job's payload may have.
+/// The longest payload of a job, in bytes.
 pub const LONGEST_PAYLOAD: usize = 4000;
-/// Steps that a job may have; far above what graphs in use have.
+/// The most steps that a job may have; far above what the graphs in use have.
 pub const MOST_STEPS: usize = 1000;
-/// Tasks that a job may have, all steps together; a tenth of a leader's memory if each is at work.
+/// The most tasks that a job may have, over all its steps. If all of them run at once, they take a tenth of
+/// a leader's memory.
 pub const MOST_TASKS: u32 = 100_000;
 
 /// A job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct JobSpec {
-    /// What agents are told to run; not read here.
+    /// What the agents run. It is passed on to them without being interpreted here.
     pub payload: Name,
-    /// The steps. Each may depend on earlier ones only.
+    /// The steps. Each may depend only on earlier ones.
     pub steps: Vec<StepSpec>,
-    /// When it runs, if not once and at once.
+    /// The schedule of a recurring job; `None` for a job that runs once, immediately.
     pub recurrence: Option<Recurrence>,
 }
 
-/// When a recurring job fires.
+/// The schedule of a recurring job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Recurrence {
-    /// The first time.
+    /// When the first occurrence is due.
     pub first: Wall,
-    /// From one time to the next.
+    /// The time from one occurrence to the next.
     pub interval: Duration,
-    /// How often.
+    /// The number of occurrences.
     pub count: u32,
 }
 
-/// Tasks that are alike.
+/// A step of a job: a number of identical tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct StepSpec {
-    /// How many tasks.
+    /// The number of tasks.
     pub tasks: TaskIx,
-    /// What each needs.
+    /// The resources that each task needs.
     pub need: Resources,
-    /// About how long each runs.
+    /// The estimated run time of each task.
     pub estimate: Duration,
-    /// Steps whose tasks must all be done first.
+    /// The steps that this one depends on: all their tasks must be done first.
     pub after: Vec<StepIx>,
     /// Whether a task can be resumed from a checkpoint.
     pub checkpoints: bool,
-    /// Whether the tasks work only all together, and end together.
+    /// Whether the tasks are a gang: they run only all at once, and if one ends, all do.
     pub gang: bool,
-    /// Whether they run much slower on more than one rack.
+    /// Whether the tasks run much slower if they are spread over more than one rack.
     pub one_rack: bool,
     /// A label that the host must have.
     pub label: Option<Name>,
-    /// The rack where the data lies; elsewhere a task runs much slower.
+    /// The rack that holds the input data; on any other rack a task runs much slower.
     pub data_rack: Option<RackId>,
-    /// At most so many tasks on one host.
+    /// The most tasks of the step that may run on one host.
     pub per_host: Option<u32>,
-    /// Whether copies of a task may run at once.
+    /// Whether several copies of a task may run at the same time.
     pub speculative: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks are long-running: they run until the job is cancelled. All others are batch tasks,
+    /// which finish.
     pub lasting: bool,
-    /// What the tasks run; those of one image behave alike.
+    /// The image that the tasks run; tasks of the same image behave alike.
     pub image: Option<Name>,
-    /// The tail latency that a serving task must stay below.
+    /// For tasks that serve requests: the tail latency that each must stay below.
     pub tail: Option<Duration>,
-    /// Whether the tasks live on what the others leave unused, and disturb those that serve.
+    /// Whether the tasks are best-effort: they use the resources that other tasks leave idle, and they slow
+    /// down tasks that serve requests on the same host.
     pub best_effort: bool,
-    /// How many tasks of a lasting step may be away at once by our own doing.
+    /// The disruption budget of a long-running step: how many of its tasks the scheduler may take down at
+    /// once by its own decisions.
     pub budget: u32,
 }
 
-/// Why a job can't be accepted.
+/// Why the specification of a job was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SpecError {
     /// The payload is too long.
-    #[snafu(display("the payload has {length} bytes; at most {LONGEST_PAYLOAD} are taken"))]
+    #[snafu(display("the payload has {length} bytes; at most {LONGEST_PAYLOAD} are allowed"))]
     Payload {
-        /// Its length in bytes.
+        /// The length of the payload in bytes.
         length: usize,
     },
-    /// There are no steps, or too many.
-    #[snafu(display("{count} steps; a job has 1 to {MOST_STEPS}"))]
+    /// The job has no steps, or too many.
+    #[snafu(display("the job has {count} steps; 1 to {MOST_STEPS} are allowed"))]
     Steps {
-        /// How many there are.
+        /// The number of steps.
         count: usize,
     },
     /// A step has no tasks.
     #[snafu(display("step {step} has no tasks; give it at least one"))]
     NoTasks {
-        /// Which step.
+        /// The step.
         step: usize,
     },
-    /// There are too many tasks.
-    #[snafu(display("more than {MOST_TASKS} tasks; split the job"))]
+    /// The job has too many tasks.
+    #[snafu(display("the job has more than {MOST_TASKS} tasks; split it into several jobs"))]
     Tasks,
     /// A step depends on itself or on a later one.
-    #[snafu(display("step {step} depends on step {on}; name earlier steps only"))]
+    #[snafu(display("step {step} depends on step {on}; a step may depend only on earlier steps"))]
     Order {
-        /// Which step.
+        /// The step.
         step: usize,
-        /// On which it depends.
+        /// The step that it depends on.
         on: StepIx,
     },
 }
 
 impl JobSpec {
-    /// A job that runs once, at once.
+    /// Creates a job that runs once, immediately.
     pub fn new(payload: &str, steps: Vec<StepSpec>) -> Self {
         Self {
             payload: payload.into(),
@@ -141,11 +149,11 @@
         }
     }
 
-    /// Whether it can be run at all.
+    /// Checks that the job can run at all.
     ///
     /// # Errors
     ///
-    /// Says which step is wrong and what would be right.
+    /// The error names the step that is wrong, and says what is allowed.
     pub fn check(&self) -> Result<(), SpecError> {
         let length = self.payload.len();
         ensure!(length <= LONGEST_PAYLOAD, PayloadSnafu { length });
@@ -163,14 +171,14 @@
         Ok(())
     }
 
-    /// About how long the longest chain of steps takes.
+    /// The estimated duration of the critical path, the chain of dependent steps that takes longest.
     pub fn chain(&self) -> Duration {
         let all = self.remaining(|step| step.estimate);
         all.into_iter().max().unwrap_or_default()
     }
 
-    /// About how long it takes from the begin of each step to the end of the job, if the tasks of a
-    /// step take as long as `estimate` says.
+    /// For each step, the time from its start to the end of the job along the longest chain of dependent
+    /// steps, if the tasks of a step take as long as `estimate` returns.
     pub fn remaining(&self, estimate: impl Fn(&StepSpec) -> Duration) -> Vec<Duration> {
         let own: Vec<_> = self.steps.iter().map(estimate).collect();
         let mut left = own.clone();
@@ -183,25 +191,25 @@
         left
     }
 
-    /// How often it fires.
+    /// The number of occurrences; 1 for a job that runs once.
     pub fn occurrences(&self) -> Occurrence {
         self.recurrence.map_or(1, |r| r.count)
     }
 
-    /// When an occurrence is due; `None` if at once.
+    /// When an occurrence is due; `None` for a job that runs once, immediately.
     pub fn due(&self, occurrence: Occurrence) -> Option<Wall> {
         let recurrence = self.recurrence?;
         Some(recurrence.first + recurrence.interval * occurrence)
     }
 
-    /// Whether any of its steps runs until the job is cancelled.
+    /// Whether any of its steps is long-running.
     pub fn is_lasting(&self) -> bool {
         self.steps.iter().any(|s| s.lasting)
     }
 }
 
 impl StepSpec {
-    /// Tasks without any wish.
+    /// Creates a step of batch tasks without any resource needs or placement constraints.
     pub fn new(tasks: TaskIx, estimate: Duration) -> Self {
         Self {
             tasks,
@@ -223,7 +231,7 @@
         }
     }
 
-    /// What a task takes of a host's room: best-effort work is not counted by its cores.
+    /// The resources that are reserved for a task on its host. The cores of best-effort tasks don't count.
     pub fn room(&self) -> Resources {
         let mut room = self.need;
         if self.best_effort {
--- a/src/core/workload/touched.rs
+++ b/src/core/workload/touched.rs
@@ -1,14 +1,15 @@
-//! Which hosts a leader may have given orders about, and how long ago.
+//! Which hosts a leader may have sent orders about, and how long ago.
 //!
-//! Two leaders that follow each other must not give orders about one host within a time that the
-//! provider sets. A new leader can't ask its predecessor what it did; so what a leader is about to
-//! order is in the log before it goes out ([`Touch`]), and its successor waits for those hosts alone.
-//! Without the record it had to wait for all of them: each election cost the moves of three seconds.
+//! Two successive leaders must not send orders about the same host within an interval that the provider
+//! sets. A new leader can't ask its predecessor what it has ordered. So a leader commits the hosts that it is
+//! about to send orders about ([`Touch`]) before the orders go out, and its successor waits for those hosts
+//! only. Without this record a new leader had to wait for all hosts: each election cost the moves of three
+//! seconds.
 //!
-//! Times are those of the leaders' own steady clocks, counted from the begin of their terms, and never
-//! compared with another's. What is known of a touch's age is what passed in the log after it: a later
-//! touch of the same term says how much. The time without a leader isn't known and isn't counted, so
-//! an age is never more than the true one.
+//! Times are those of each leader's own monotonic clock, counted from the start of its term. They are never
+//! compared between leaders. The age of a record is the time that passed in the log after it, as later
+//! records of the same term show. The time without a leader is unknown and isn't counted, so an age is never
+//! greater than the true one.
 //!
 //! ```
 //! use std::time::Duration;
@@ -34,44 +35,46 @@
 
 use crate::core::{consensus::Term, types::HostId};
 
-/// How long a touch is remembered, in milliseconds: ten times what providers ask between the orders
-/// of two leaders today, and the same on every node.
+/// How long a host is remembered, in milliseconds: ten times the interval that providers require between the
+/// orders of two leaders today. A constant, since it must be the same on every node.
 const KEPT: u64 = 30_000;
 
-/// What a leader says before it gives orders about hosts, and now and then to show that time passes.
+/// What a leader commits before it sends orders about hosts, and now and then, with or without hosts, to show
+/// that time passes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Touch {
     /// The leader's term.
     pub term: Term,
-    /// Milliseconds since the term began.
+    /// Milliseconds since the start of the term.
     pub at: u64,
-    /// The hosts.
+    /// The hosts that orders are about to be sent about.
     pub hosts: Vec<HostId>,
 }
 
-/// The hosts that were touched lately.
+/// The hosts that leaders have recently sent orders about.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Touched {
-    /// The last term that said anything, and what it said last of the time.
+    /// The latest term with a record.
     term: Term,
+    /// The latest time recorded in that term, in milliseconds since its start.
     at: u64,
     hosts: BTreeMap<HostId, Seen>,
 }
 
-/// When a host was touched last.
+/// When orders about a host were last recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 struct Seen {
-    /// Milliseconds that passed in earlier terms than the last.
+    /// Milliseconds that passed since the record in terms before the latest one.
     before: u64,
-    /// Since when it counts in the last term.
+    /// The time in the latest term from which on the age is counted, in milliseconds since its start.
     at: u64,
 }
 
 impl Touched {
-    /// Takes in what a leader said.
+    /// Applies a record of a leader.
     pub fn apply(&mut self, touch: &Touch) {
         if touch.term > self.term {
             for seen in self.hosts.values_mut() {
@@ -88,12 +91,12 @@
             .extend(touch.hosts.iter().map(|host| (host.clone(), new)));
     }
 
-    /// Whether any leader has said what it touches. Those of earlier releases didn't.
+    /// Whether any leader has committed such a record. Leaders of earlier releases don't.
     pub fn is_kept(&self) -> bool {
         self.term > 0
     }
 
-    /// The hosts that were touched lately, and how long ago at least.
+    /// The hosts that leaders have recently sent orders about, each with the least time since then.
     pub fn ages(&self) -> impl Iterator<Item = (&HostId, Duration)> {
         let age = |seen: &Seen| Duration::from_millis(seen.age(self.at));
         self.hosts.iter().map(move |(host, seen)| (host, age(seen)))
--- a/src/core/workload/workspace.rs
+++ b/src/core/workload/workspace.rs
@@ -1,11 +1,12 @@
-//! Workspaces: who calls, and how much of the hosts they may have at once.
+//! Workspaces: who submits jobs, and how many resources their tasks may use at once.
 //!
-//! A *workspace* is a customer of the queues. Its callers show one of its keys; what they submit is the
-//! workspace's. A *cap* bounds what a workspace has running, over all pools together: what was begun, what
-//! may have been, and what is being stopped. A task that is greater than the cap by itself runs alone.
+//! A *workspace* is a customer of the queues. Its callers present one of its keys, and the jobs that they
+//! submit belong to the workspace. A *cap* limits the resources of a workspace's tasks over all pools
+//! together. It counts tasks that have started, that may have started and that are being stopped. A task that
+//! exceeds the cap by itself runs alone.
 //!
-//! Keys are secrets. Only the catalog's own text holds them; everything else knows a key by its
-//! [`KeyDigest`], which tells nothing of it and isn't shown either.
+//! Keys are secrets. Only the text of the catalog contains them. Everything else identifies a key by its
+//! [`KeyDigest`], which reveals nothing about the key and isn't printed either.
 //!
 //! ```
 //! use egretpin::core::{types::Resources, workload::workspace::{Cap, KeyDigest}};
@@ -18,7 +19,7 @@
 //! let cap = Cap(cores(4000));
 //! assert!(cap.allows(&cores(3000), &cores(1000), 1));
 //! assert!(!cap.allows(&cores(3000), &cores(1500), 1));
-//! // What is greater than the cap runs alone.
+//! // A task that exceeds the cap by itself runs alone.
 //! assert!(cap.allows(&cores(0), &cores(6000), 1));
 //! ```
 
@@ -31,13 +32,13 @@
 use super::spec::TaskIx;
 use crate::core::types::{Resources, WorkspaceId};
 
-/// What callers of a workspace show, as all but the catalog's text know it.
+/// The digest of a key of a workspace: the first half of its SHA-256 hash.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 pub struct KeyDigest(u128);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &SecretString) -> Self {
         let digest = Sha256::digest(key.expose_secret());
         let (half, _) = digest.split_at(size_of::<u128>());
@@ -59,20 +60,21 @@
 pub struct WorkspaceSpec {
     /// Its name.
     pub name: WorkspaceId,
-    /// The keys that its callers may show.
+    /// The digests of the keys that its callers may present.
     pub keys: Vec<KeyDigest>,
-    /// Its share where there is too little for all, and the jobs a second that it may count on.
+    /// Its share when there is too little capacity for all workspaces, and the rate of jobs per second that
+    /// it may rely on.
     pub weight: f64,
-    /// What it may have running.
+    /// The limit on the resources of its tasks.
     pub cap: Cap,
 }
 
-/// What a workspace may have running; 0 of a kind is no limit.
+/// The limit on the resources that the tasks of a workspace use at once. For each kind, 0 means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cap(pub Resources);
 
 impl Cap {
-    /// Whether so many tasks may start together beside what the workspace has running.
+    /// Whether `tasks` tasks that each need `need` may start together while the workspace uses `used`.
     pub fn allows(&self, used: &Resources, need: &Resources, tasks: TaskIx) -> bool {
         let Resources {
             millicores,
@@ -90,7 +92,7 @@
             )
     }
 
-    /// How many tasks that each need so much may run at once if nothing else does; at least one.
+    /// The most tasks that may run at once, each needing `need`, if nothing else runs; at least one.
     pub fn width(&self, need: &Resources) -> TaskIx {
         let most = |cap: u64, need: u64| {
             let limited = cap > 0 && need > 0;
@@ -107,7 +109,8 @@
     }
 }
 
-/// Whether so many tasks fit below a cap of one kind. All but the last must, where nothing runs.
+/// Whether `tasks` tasks that each need `need` fit into the cap of one kind of resource. If nothing else uses
+/// it, the last of them may exceed the cap.
 fn within(cap: u64, used: u64, need: u64, tasks: u64) -> bool {
     let sum = |tasks: u64| used.saturating_add(need.saturating_mul(tasks));
     let alone = used == 0 && sum(tasks.saturating_sub(1)) <= cap;
--- a/tests/workload/workspaces.rs
+++ b/tests/workload/workspaces.rs
@@ -106,12 +106,12 @@
     let twice = catalog(vec![workspace("a", &["ka"]), workspace("a", &["kb"])]);
     assert_eq!(
         twice.check().unwrap_err().to_string(),
-        "workspace a is given twice"
+        "workspace a is declared twice"
     );
     let repeated = catalog(vec![workspace("a", &["ka", "ka"])]);
     assert_eq!(
         repeated.check().unwrap_err().to_string(),
-        "workspace a has a key twice; give each once"
+        "workspace a lists a key twice; list each key once"
     );
     assert_eq!(two().check(), Ok(()));
 }
