--- a/tests/workload/budgets.rs
+++ b/tests/workload/budgets.rs
@@ -1,11 +1,11 @@
-//! One leader after the other: what the one has taken from a budget, the next must not take again.
+//! Successive leaders: a new leader must not spend again what its predecessor has spent of a disruption budget.
 //!
-//! What was seen: a leader told two lasting tasks of a step to stop, of which two may be away, and
-//! lost power within a second. Its successor heard that the one had ended, took the other, which its
-//! agent listed at work until the stop was through, for running, and stopped a third. How it came
-//! about: a stop takes up to a second and is in nobody's log, and a list of what runs doesn't say what
-//! is being stopped. Cause: a leader spent a budget by what it had heard of the tasks, and not by what
-//! its predecessor may have ordered. Proof: the first test, which puts a new leader into that second.
+//! Guards against a leader that counts only what agents report, and not what its predecessor may have ordered.
+//! A leader ordered two long-running tasks of a step with a budget of two to stop, and lost power within a
+//! second. Its successor received the end of one of them. It took the other for running, since its agent listed
+//! it until the stop was complete, and stopped a third. A stop takes up to a second and isn't in the log, and an
+//! agent's list of running tasks doesn't show which of them are being stopped. The first test lets a new leader
+//! take over within that second.
 
 use egretpin::core::workload::{scheduler::Protections, spec::JobSpec};
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
@@ -13,11 +13,11 @@
 
 use crate::world::{World, lasting, ms};
 
-/// Worlds that are played with each set of protections.
+/// The number of simulated worlds for each set of protections.
 const SEEDS: u64 = 40;
 const HOSTS: [&str; 10] = ["h0", "h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"];
 
-/// Ten hosts, and a step of six lasting tasks of which two may be away.
+/// Ten hosts, and a step of six long-running tasks with a disruption budget of two.
 fn world(seed: u64, protections: Protections) -> World {
     let mut world = World::new(HOSTS.len(), seed);
     world.stopping = ms(900);
@@ -30,7 +30,7 @@
     world
 }
 
-/// Waves that empty one host each, while leaders come and go, most of them soon after a stop.
+/// Simulates waves that empty one host each, while leaders are deposed, most of them soon after a stop.
 fn play(seed: u64, protections: Protections) -> World {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut world = world(seed, protections);
@@ -60,7 +60,7 @@
     world.sent.get("stop").copied().unwrap_or_default()
 }
 
-/// The host that runs a lasting task.
+/// The host that runs a long-running task.
 fn host_of(world: &World, task: u32) -> String {
     let runs = world.runs(1);
     let (agent, _) = runs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_budget_that_a_dead_leader_spent_is_not_spent_again() {
+fn a_budget_spent_by_a_failed_leader_is_not_spent_again() {
     let mut world = world(7, Protections::default());
     let hosts: Vec<_> = (0..3).map(|task| host_of(&world, task)).collect();
     world.wave(1, &[&hosts[0]], 1, ms(6_000));
@@ -80,28 +80,28 @@
     world.wave(2, &[&hosts[1]], 1, ms(6_000));
     world.until("and another", ms(3000), |world| stops(world) == 2);
     world.wave(3, &[&hosts[2]], 1, ms(6_000));
-    // The order has arrived, and neither stop is through.
+    // The orders have arrived, and neither stop is complete.
     world.pass(ms(15));
     world.depose();
     world.pass(ms(200));
     world.lead();
     world.pass(ms(2000));
-    assert_eq!(world.overdrawn, [], "at most two are away");
+    assert_eq!(world.overdrawn, [], "more than two tasks were down");
 }
 
 #[test]
-fn leaders_that_come_and_go_keep_budgets() {
+fn budgets_hold_across_changes_of_the_leader() {
     let mut count = 0;
     for seed in 0..SEEDS {
         let world = play(seed, Protections::default());
         assert_eq!(world.overdrawn, [], "seed {seed}");
         count += stops(&world);
     }
-    assert!(count > 200, "{count} stops put it to the test");
+    assert!(count > 200, "only {count} stops; too few for the test");
 }
 
 #[test]
-fn without_waiting_for_stops_they_do_not() {
+fn without_waiting_for_stops_budgets_are_exceeded() {
     let broken = (0..SEEDS).filter(|seed| {
         let protections = Protections {
             spent: false,
@@ -112,15 +112,15 @@
     let broken = broken.count();
     assert!(
         broken >= 10,
-        "the check notices: {broken} of {SEEDS} worlds"
+        "the check detects only {broken} of {SEEDS} worlds"
     );
 }
 
 #[test]
-fn work_that_a_dead_leader_had_standing_still_goes_on() {
+fn work_throttled_by_a_failed_leader_resumes() {
     let mut world = World::with_filling(10);
     world.harm = 1000.0;
-    world.until("it stands still", ms(4000), |world| world.tail() < 50.0);
+    world.until("it is throttled", ms(4000), |world| world.tail() < 50.0);
     world.depose();
     world.harm = 1.0;
     world.pass(ms(200));
--- a/tests/workload/caps.rs
+++ b/tests/workload/caps.rs
@@ -1,7 +1,7 @@
-//! Workspaces that ask for more than their caps let run.
+//! Workspaces that submit more work than their caps let run at once.
 //!
-//! What was seen: caps bound nobody, as they weren't read. The worlds here count what agents run at every
-//! start.
+//! Guards against caps that are declared but not enforced, as happened when the catalog's caps weren't read. The
+//! simulated worlds sum up what agents run at every start.
 
 use egretpin::core::workload::{
     command::Command, job::JobState, scheduler::Protections, spec::JobSpec,
@@ -14,10 +14,10 @@
 
 const OWNER: &str = "greenhouse";
 const NEIGHBOUR: &str = "nursery";
-/// Worlds that are played of each kind.
+/// The number of simulated worlds of each kind.
 const SEEDS: u64 = 24;
 
-/// A world in which jobs are a workspace's that may have so many cores.
+/// A world whose jobs belong to a workspace with a cap of `cores` cores.
 fn capped(hosts: usize, seed: u64, cores: u64) -> World {
     let mut world = World::new(hosts, seed);
     world.owner = Some(OWNER.into());
@@ -29,24 +29,24 @@
     world.state(job) == Some(JobState::Completed)
 }
 
-/// A step that is wider than the cap began whole.
+/// Guards against starting all tasks of a step at once if together they exceed the cap.
 #[test]
-fn a_step_that_is_wider_than_the_cap_runs_in_waves() {
+fn a_step_wider_than_the_cap_runs_in_parts() {
     let mut world = capped(4, 1, 4);
     world.submit(1, JobSpec::new("x", vec![step(12, 1, 300)]));
     let mut most = 0;
     while !completed(&world, 1) {
         world.pass(ms(5));
         most = most.max(world.running(OWNER));
-        // Three waves of 1.3 times the estimate, and what commits, orders and looks take.
+        // Three parts of 1.3 times the estimate each, with the time for commits, orders and polls.
         assert!(world.now < ms(1000 + 3 * 390 + 3 * 150), "{:?}", world.now);
     }
     assert_eq!((most, world.beyond), (4000, 0));
 }
 
-/// A task that is greater than the cap waited for ever.
+/// Guards against a task that exceeds the cap by itself waiting forever.
 #[test]
-fn a_task_that_is_greater_than_the_cap_runs_alone() {
+fn a_task_that_exceeds_the_cap_runs_alone() {
     let mut world = capped(4, 2, 2);
     world.submit(1, JobSpec::new("x", vec![step(3, 4, 300)]));
     world.until("all have run", ms(3000), |world| {
@@ -55,9 +55,9 @@
     });
 }
 
-/// A part of a gang began, and waited for the rest.
+/// Guards against starting a part of a gang that then waits for the rest.
 #[test]
-fn a_gang_counts_whole() {
+fn a_gang_counts_as_a_whole() {
     let mut world = capped(4, 3, 6);
     let mut gang = step(4, 1, 800);
     gang.gang = true;
@@ -71,7 +71,7 @@
         completed(world, 2)
     });
     assert_eq!(world.beyond, 0);
-    // One that could never run within the cap waits, and holds up nothing.
+    // A gang that can never run within the cap waits, and delays no other job.
     let mut gang = step(12, 1, 300);
     gang.gang = true;
     world.submit(3, JobSpec::new("x", vec![gang]));
@@ -80,9 +80,9 @@
     assert_eq!((world.runs(3).len(), world.beyond), (0, 0));
 }
 
-/// What one workspace may not start held up another.
+/// Guards against tasks that wait for the cap of one workspace delaying those of another.
 #[test]
-fn a_workspace_at_its_cap_holds_up_no_other() {
+fn a_workspace_at_its_cap_delays_no_other() {
     let mut world = capped(4, 4, 2);
     for job in 1..=30 {
         world.submit(job, JobSpec::new("x", vec![step(4, 1, 1000)]));
@@ -96,9 +96,9 @@
     assert_eq!(world.beyond, 0);
 }
 
-/// A cap that fell stopped what ran, or let more start beside it.
+/// Guards against stopping running tasks when a cap is lowered, and against starting more beside them.
 #[test]
-fn a_cap_that_falls_stops_nothing_and_starts_nothing_until_it_fits() {
+fn a_lowered_cap_stops_nothing_and_starts_nothing_until_it_fits() {
     let mut world = capped(4, 5, 12);
     world.submit(1, JobSpec::new("x", vec![step(12, 1, 2000)]));
     world.until("it runs", ms(500), |world| world.runs(1).len() == 12);
@@ -123,9 +123,9 @@
     });
 }
 
-/// Hosts were moved for work that a cap didn't let start.
+/// Guards against moving hosts to a pool for tasks that a cap doesn't let start.
 #[test]
-fn what_waits_behind_a_cap_moves_no_host() {
+fn tasks_that_wait_for_a_cap_move_no_host() {
     let mut world = capped(2, 6, 8);
     for host in 10..18 {
         world.host(&format!("h{host}"), OTHER);
@@ -140,10 +140,11 @@
     assert_eq!(hosts.filter(|host| &*host.pool == POOL).count(), 2);
 }
 
-/// Lasting work of a workspace ran beyond its cap, or kept hosts for what may not run.
+/// Guards against long-running tasks that exceed their workspace's cap, and against hosts kept for tasks that
+/// may not run.
 #[test]
-fn lasting_work_runs_as_far_as_the_cap_goes() {
-    // One host more than the tasks that may run, for one of them to be moved to.
+fn long_running_tasks_run_up_to_the_cap() {
+    // One host more than tasks that may run, so that one of them can be moved there.
     let mut world = capped(4, 7, 3);
     world.submit(1, JobSpec::new("x", vec![lasting(10, 1)]));
     for host in 10..20 {
@@ -153,17 +154,17 @@
     assert_eq!((world.runs(1).len(), world.beyond, world.moves), (3, 0, 0));
     world.propose(Command::Cancel(1));
     world.submit(2, JobSpec::new("x", vec![lasting(3, 1)]));
-    world.until("what is stopped makes room", ms(2500), |world| {
+    world.until("the stopped tasks free the cap", ms(2500), |world| {
         world.runs(2).len() == 3
     });
     assert_eq!(world.beyond, 0);
 }
 
-/// Plays trouble of every kind beside a cap that changes; by how much it was exceeded.
+/// Simulates failures of every kind while a cap changes, and returns by how much the cap was exceeded.
 fn trouble(seed: u64, protections: Protections) -> u64 {
     let mut world = capped(6, seed, 12);
     world.protections = protections;
-    // What is given up too early runs twice at once; here it is the cap that has to notice.
+    // An attempt that is abandoned too early runs twice at once. Here the check of the cap has to detect it.
     world.lax = !protections.inherit;
     world.lead();
     let change = |world: &mut World, job: u64| {
@@ -175,15 +176,15 @@
     play_beside(world, seed, ALL, true, change).beyond
 }
 
-/// Leaders that follow each other, late orders, cuts and lost answers beside a cap.
+/// A cap holds through changes of the leader, late orders, partitions and lost answers.
 #[test]
-fn whatever_fails_nothing_starts_beyond_a_cap() {
+fn no_failure_lets_a_task_start_beyond_a_cap() {
     for seed in 0..SEEDS {
         assert_eq!(trouble(seed, Protections::default()), 0, "seed {seed}");
     }
 }
 
-/// The check above notices a leader that counts nothing.
+/// Shows that the check above detects a leader that doesn't count tasks against caps.
 #[test]
 fn without_counting_caps_are_exceeded() {
     let off = Protections {
@@ -193,9 +194,9 @@
     assert!((0..SEEDS).any(|seed| trouble(seed, off) > 0));
 }
 
-/// The check above notices a leader that takes what its predecessor placed for gone.
+/// Shows that the check above detects a leader that ignores what its predecessor placed.
 #[test]
-fn a_leader_that_forgets_what_was_placed_exceeds_a_cap() {
+fn a_leader_that_ignores_inherited_placements_exceeds_a_cap() {
     let off = Protections {
         inherit: false,
         ..Protections::default()
--- a/tests/workload/catalog.rs
+++ b/tests/workload/catalog.rs
@@ -1,4 +1,4 @@
-//! Queues and pools as operators declare them.
+//! Lookups in a catalog of queues and pools, and its validation.
 
 use std::time::Duration;
 
@@ -59,26 +59,26 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_what_is_wrong() {
     let check = |queues| catalog(queues).check();
-    let same = vec![queue("a", "h", "/p/"), queue("b", "h", "/p/")];
+    let same_prefix = vec![queue("a", "h", "/p/"), queue("b", "h", "/p/")];
     assert_eq!(
-        check(same).map_err(|e| e.to_string()),
+        check(same_prefix).map_err(|e| e.to_string()),
         Err("queues a and b share host h and prefix /p/".to_owned())
     );
-    let mut lost = queue("a", "h", "/p/");
-    lost.pool = "nowhere".into();
+    let mut unknown_pool = queue("a", "h", "/p/");
+    unknown_pool.pool = "nowhere".into();
     assert_eq!(
-        check(vec![lost]),
+        check(vec![unknown_pool]),
         Err(CatalogError::UnknownPool {
             queue: "a".into(),
             pool: "nowhere".into()
         })
     );
-    let mut hasty = queue("a", "h", "/p/");
-    hasty.timeout = Duration::ZERO;
+    let mut no_timeout = queue("a", "h", "/p/");
+    no_timeout.timeout = Duration::ZERO;
     assert_eq!(
-        check(vec![hasty]),
+        check(vec![no_timeout]),
         Err(CatalogError::NoTimeout { queue: "a".into() })
     );
     assert_eq!(
--- a/tests/workload/ledger.rs
+++ b/tests/workload/ledger.rs
@@ -1,4 +1,4 @@
-//! What the replicated state machine keeps, whatever comes in which order.
+//! The replicated state machine of jobs and agents, under commands in any order.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 impl World {
-    /// A job of two tasks and then one, and two agents.
+    /// A job whose second step of one task depends on a first step of two, and two agents.
     fn new() -> Self {
         let mut last = StepSpec::new(1, Duration::from_secs(1));
         last.after = vec![0];
@@ -35,7 +35,7 @@
         let ledger = Ledger::default();
         let mut world = Self { ledger, index: 0 };
         for agent in ["a", "b"] {
-            world.know(agent);
+            world.register(agent);
         }
         world.apply(&Command::Submit(Box::new(Submission {
             job: JOB,
@@ -53,7 +53,7 @@
         self.ledger.apply(self.index, command)
     }
 
-    fn know(&mut self, agent: &str) -> Vec<Change> {
+    fn register(&mut self, agent: &str) -> Vec<Change> {
         self.apply(&Command::Agent(Box::new(record(agent))))
     }
 
@@ -111,21 +111,21 @@
 }
 
 #[test]
-fn an_attempt_whose_task_was_done_by_an_earlier_one_is_superfluous() {
+fn an_attempt_whose_task_an_earlier_one_did_is_redundant() {
     let mut world = World::new();
     world.start(task(0, 0), 1, "a");
-    // Its agent is cut off until the lease has run out.
+    // Its agent is partitioned until the lease has expired.
     world.apply(&Command::Round(Round {
         freed: vec![placed(task(0, 0), 1, "a")],
         ..Round::default()
     }));
     world.start(task(0, 0), 2, "b");
     let changes = world.end("a", 1, task(0, 0), 1, Ending::Done);
-    let superfluous = Change::Superfluous(placed(task(0, 0), 2, "b"));
-    assert!(changes.contains(&superfluous), "{changes:?}");
-    // Its own end is nothing new.
+    let redundant = Change::Superfluous(placed(task(0, 0), 2, "b"));
+    assert!(changes.contains(&redundant), "{changes:?}");
+    // Its own end doesn't report it as redundant again.
     let changes = world.end("b", 1, task(0, 0), 2, Ending::Stopped);
-    assert!(!changes.contains(&superfluous), "{changes:?}");
+    assert!(!changes.contains(&redundant), "{changes:?}");
 }
 
 fn task(step: u16, task: u32) -> TaskId {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn an_end_that_was_taken_in_counts_once() {
+fn a_reported_end_is_applied_once() {
     let mut world = World::new();
     world.start(task(0, 0), 1, "a");
     world.end("a", 1, task(0, 0), 1, Ending::Failed);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn the_end_of_a_superseded_attempt_frees_nothing() {
+fn the_end_of_a_superseded_attempt_leaves_the_new_placement() {
     let mut world = World::new();
     world.start(task(0, 0), 1, "a");
     world.start(task(0, 0), 2, "b");
@@ -200,25 +200,25 @@
     );
     assert!(
         world.start(task(0, 1), 1, "a").is_empty(),
-        "nor is an old number used again"
+        "an attempt's number is never used again"
     );
 }
 
 #[test]
-fn what_an_agent_ran_is_free_when_it_is_over() {
+fn tasks_of_a_terminated_agent_need_another_attempt() {
     let mut world = World::new();
     world.start(task(0, 0), 1, "a");
     let changes = world.apply(&Command::Gone("a".into()));
-    let vacated = Change::Vacated {
+    let unplaced = Change::Vacated {
         placed: placed(task(0, 0), 1, "a"),
         again: true,
     };
-    assert_eq!(changes, [vacated, Change::Gone("a".into())]);
+    assert_eq!(changes, [unplaced, Change::Gone("a".into())]);
     assert!(world.end("a", 1, task(0, 0), 1, Ending::Done).is_empty());
 }
 
 #[test]
-fn nothing_of_a_cancelled_job_is_placed_or_free() {
+fn a_cancelled_job_places_and_retries_nothing() {
     let mut world = World::new();
     world.start(task(0, 0), 1, "a");
     assert_eq!(world.apply(&Command::Cancel(JOB)), [Change::Over(JOB)]);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn what_lasts_is_never_done() {
+fn a_long_running_task_is_never_done() {
     let mut step = StepSpec::new(1, Duration::from_secs(1));
     step.lasting = true;
     let mut world = World::with(JobSpec::new("x", vec![step]));
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn one_member_done_is_the_whole_gang() {
+fn a_done_task_completes_its_whole_gang() {
     let mut step = StepSpec::new(3, Duration::from_secs(1));
     step.gang = true;
     let mut world = World::with(JobSpec::new("x", vec![step]));
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn the_highest_catalog_stays() {
+fn only_a_higher_catalog_version_takes_effect() {
     let mut world = World::new();
     let document = |version, text: &'static [u8]| {
         Command::Declare(Document {
@@ -279,19 +279,22 @@
 }
 
 #[test]
-fn an_image_holds_everything() {
+fn a_snapshot_restores_the_state() {
     let mut world = World::new();
     world.start(task(0, 0), 1, "a");
     world.end("a", 1, task(0, 0), 1, Ending::Failed);
     world.start(task(0, 0), 2, "b");
-    let copy = Ledger::from_image(&world.ledger.image()).unwrap();
-    assert_eq!(copy.placed(&"b".into()).collect::<Vec<_>>(), [task(0, 0)]);
-    assert_eq!(copy.job(JOB), world.ledger.job(JOB));
-    assert_eq!(copy.applied(), world.ledger.applied());
+    let restored = Ledger::from_image(&world.ledger.image()).unwrap();
+    assert_eq!(
+        restored.placed(&"b".into()).collect::<Vec<_>>(),
+        [task(0, 0)]
+    );
+    assert_eq!(restored.job(JOB), world.ledger.job(JOB));
+    assert_eq!(restored.applied(), world.ledger.applied());
 }
 
-/// What a heartbeat of the agent `a` says.
-fn said(sequence: u64, label: &str) -> AgentRecord {
+/// The record that a heartbeat of the agent `a` reports.
+fn heartbeat(sequence: u64, label: &str) -> AgentRecord {
     AgentRecord {
         labels: vec![label.into()],
         sequence,
@@ -302,42 +305,46 @@
 #[test]
 fn an_older_heartbeat_changes_nothing() {
     let mut world = World::new();
-    world.apply(&Command::Agent(Box::new(said(7, "new"))));
+    world.apply(&Command::Agent(Box::new(heartbeat(7, "new"))));
     world.ledger = Ledger::from_image(&world.ledger.image()).unwrap();
-    let older = Command::Agent(Box::new(said(6, "old")));
+    let older = Command::Agent(Box::new(heartbeat(6, "old")));
     assert!(world.apply(&older).is_empty());
-    assert_eq!(world.ledger.agent(&"a".into()), Some(&said(7, "new")));
+    assert_eq!(world.ledger.agent(&"a".into()), Some(&heartbeat(7, "new")));
 }
 
 #[test]
-fn an_incarnation_that_was_taken_for_gone_is_known_by_its_next_heartbeat() {
+fn an_incarnation_terminated_by_mistake_is_registered_by_its_next_heartbeat() {
     let mut world = World::new();
-    world.apply(&Command::Agent(Box::new(said(7, "old"))));
+    world.apply(&Command::Agent(Box::new(heartbeat(7, "old"))));
     world.apply(&Command::Gone("a".into()));
-    let know =
-        |world: &mut World, sequence| world.apply(&Command::Agent(Box::new(said(sequence, "old"))));
-    assert!(know(&mut world, 7).is_empty(), "it is late");
-    assert_eq!(know(&mut world, 8), [Change::Agent("a".into())]);
+    let register = |world: &mut World, sequence| {
+        world.apply(&Command::Agent(Box::new(heartbeat(sequence, "old"))))
+    };
+    assert!(
+        register(&mut world, 7).is_empty(),
+        "a heartbeat from before the end is stale"
+    );
+    assert_eq!(register(&mut world, 8), [Change::Agent("a".into())]);
     world.apply(&Command::Gone("a".into()));
-    assert!(know(&mut world, 8).is_empty());
+    assert!(register(&mut world, 8).is_empty());
 }
 
 #[test]
-fn a_late_heartbeat_of_an_incarnation_that_is_over_makes_it_known_no_more() {
+fn a_late_heartbeat_of_a_terminated_incarnation_does_not_register_it() {
     let mut world = World::new();
     world.apply(&Command::Gone("a".into()));
-    // Its end may also be heard before its first heartbeat.
+    // The end of an incarnation may also be committed before its first heartbeat.
     world.apply(&Command::Gone("c".into()));
     world.ledger = Ledger::from_image(&world.ledger.image()).unwrap();
     for agent in ["a", "c"] {
-        assert!(world.know(agent).is_empty());
+        assert!(world.register(agent).is_empty());
         assert!(world.ledger.agent(&agent.into()).is_none());
     }
-    assert_eq!(world.know("d"), [Change::Agent("d".into())]);
+    assert_eq!(world.register("d"), [Change::Agent("d".into())]);
 }
 
 #[test]
-fn incarnations_that_are_over_take_bounded_space() {
+fn terminated_incarnations_take_bounded_space() {
     let mut world = World::new();
     let id = |number: u32| format!("i-{number:08x}");
     for number in 0..10_000 {
@@ -345,13 +352,13 @@
     }
     let size = world.ledger.image().len();
     assert!(size < 100_000, "{size} bytes");
-    assert!(world.know(&id(9999)).is_empty());
-    assert!(world.know(&id(9999 - 4000)).is_empty());
+    assert!(world.register(&id(9999)).is_empty());
+    assert!(world.register(&id(9999 - 4000)).is_empty());
 }
 
-/// Images were written before incarnations that are over were kept, and numbers of heartbeats.
+/// Snapshots of earlier releases contain neither terminated incarnations nor the numbers of heartbeats.
 #[test]
-fn an_older_image_is_read() {
+fn a_snapshot_of_an_earlier_release_is_read() {
     use ciborium::Value;
 
     fn without(value: &mut Value, names: &[&str]) {
@@ -363,10 +370,10 @@
     }
     let mut world = World::new();
     world.apply(&Command::Gone("b".into()));
-    let mut image: Value = ciborium::from_reader(&*world.ledger.image()).unwrap();
-    without(&mut image, &["over", "sequence"]);
+    let mut snapshot: Value = ciborium::from_reader(&*world.ledger.image()).unwrap();
+    without(&mut snapshot, &["over", "sequence"]);
     let mut bytes = Vec::new();
-    ciborium::into_writer(&image, &mut bytes).unwrap();
+    ciborium::into_writer(&snapshot, &mut bytes).unwrap();
     let ledger = Ledger::from_image(&bytes).unwrap();
     assert_eq!(ledger.agent(&"a".into()), world.ledger.agent(&"a".into()));
     assert!(ledger.agent(&"b".into()).is_none());
--- a/tests/workload/spec.rs
+++ b/tests/workload/spec.rs
@@ -1,4 +1,4 @@
-//! What a job may ask for.
+//! Validation of job specifications, and their critical path.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_can_never_run_is_refused() {
+fn a_job_that_can_never_run_is_rejected() {
     assert_eq!(
         JobSpec::new("x", Vec::new()).check(),
         Err(SpecError::Steps { count: 0 })
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_chain_is_the_longest_way_through_the_steps() {
+fn the_critical_path_is_the_longest_chain_of_steps() {
     let steps = vec![
         step(&[], 100),
         step(&[], 700),
@@ -46,10 +46,10 @@
     ];
     let job = JobSpec::new("x", steps);
     assert_eq!(job.chain(), Duration::from_millis(750));
-    let left: Vec<_> = job
+    let remaining_millis: Vec<_> = job
         .remaining(|step| step.estimate)
         .iter()
         .map(Duration::as_millis)
         .collect();
-    assert_eq!(left, [450, 750, 350, 50]);
+    assert_eq!(remaining_millis, [450, 750, 350, 50]);
 }
--- a/tests/workload/suspicion.rs
+++ b/tests/workload/suspicion.rs
@@ -1,11 +1,11 @@
-//! How much evidence convicts a task.
+//! How much evidence makes a task a poison task.
 
 use std::time::Duration;
 
 use egretpin::core::workload::suspicion::{Evidence, Own, decibans};
 
-/// Evidence of hosts that ended beside others, each as unlikely as this by chance.
-fn sudden(chances: &[f64]) -> Evidence {
+/// Evidence of crashes soon after the task started beside others, one for each probability that it is chance.
+fn early_crashes(chances: &[f64]) -> Evidence {
     let mut evidence = Evidence::default();
     for chance in chances {
         evidence.note(0, Duration::from_millis(20));
@@ -15,38 +15,38 @@
 }
 
 #[test]
-fn two_ends_convict_where_neither_can_be_chance() {
-    assert!(sudden(&[0.0001, 0.0001]).is_conclusive(false));
-    assert!(!sudden(&[0.0001]).is_conclusive(false));
-    // The one that would prove the most doesn't count.
-    assert!(!sudden(&[0.0001, 0.1]).is_conclusive(false));
-    assert!(!sudden(&[0.1, 0.0001]).is_conclusive(false));
+fn two_crashes_are_conclusive_if_neither_can_be_chance() {
+    assert!(early_crashes(&[0.0001, 0.0001]).is_conclusive(false));
+    assert!(!early_crashes(&[0.0001]).is_conclusive(false));
+    // The crash with the highest weight doesn't count.
+    assert!(!early_crashes(&[0.0001, 0.1]).is_conclusive(false));
+    assert!(!early_crashes(&[0.1, 0.0001]).is_conclusive(false));
 }
 
 #[test]
-fn more_ends_convict_where_each_may_be_chance() {
-    assert!(!sudden(&[0.01, 0.01]).is_conclusive(false));
-    assert!(sudden(&[0.01, 0.01, 0.01]).is_conclusive(false));
-    assert!(!sudden(&[0.3; 4]).is_conclusive(false));
+fn more_crashes_are_conclusive_if_each_may_be_chance() {
+    assert!(!early_crashes(&[0.01, 0.01]).is_conclusive(false));
+    assert!(early_crashes(&[0.01, 0.01, 0.01]).is_conclusive(false));
+    assert!(!early_crashes(&[0.3; 4]).is_conclusive(false));
 }
 
 #[test]
-fn a_short_task_is_given_up_before_users_count_another_start_against_us() {
+fn a_batch_task_fails_before_it_starts_more_often_than_users_accept() {
     let most = usize::try_from(Own::MOST).unwrap();
-    assert!(!sudden(&vec![1.0; most - 1]).is_conclusive(false));
-    assert!(sudden(&vec![1.0; most]).is_conclusive(false));
-    // Hosts end under all that lasts, sooner or later.
-    assert!(!sudden(&vec![1.0; 2 * most]).is_conclusive(true));
+    assert!(!early_crashes(&vec![1.0; most - 1]).is_conclusive(false));
+    assert!(early_crashes(&vec![1.0; most]).is_conclusive(false));
+    // Sooner or later hosts crash under every long-running task.
+    assert!(!early_crashes(&vec![1.0; 2 * most]).is_conclusive(true));
 }
 
-/// A job failed though no host had ended under any of its tasks but once: three of them had been placed at
-/// hosts that had ended before.
+/// A job failed as poison although at most one host had crashed under each of its tasks: three of the tasks had
+/// been placed at hosts that had crashed before.
 #[test]
-fn nothing_is_convicted_by_hosts_that_it_may_not_have_begun_on() {
-    let worked = Duration::from_millis(20);
+fn crashes_are_not_conclusive_if_the_task_may_not_have_started() {
+    let run_time = Duration::from_millis(20);
     let mut evidence = Evidence::default();
     for chance in [1.0, 1.0, 0.0001, 0.0001] {
-        evidence.note(decibans(chance), worked);
+        evidence.note(decibans(chance), run_time);
         evidence.own.note(decibans(chance), false);
     }
     assert!(evidence.is_suspect() && !evidence.is_conclusive(false));
--- a/tests/workload/touched.rs
+++ b/tests/workload/touched.rs
@@ -1,4 +1,4 @@
-//! One leader after the other: which hosts a new one must leave alone, and for how long.
+//! Successive leaders: about which hosts a new leader must not send orders yet, and for how long.
 
 use egretpin::core::workload::{
     scheduler::Protections,
@@ -10,7 +10,7 @@
 
 use crate::world::{OTHER, POOL, QUEUE, SECOND, World, lasting, ms, step};
 
-/// Worlds that are played with each set of protections.
+/// The number of simulated worlds for each set of protections.
 const SEEDS: u64 = 40;
 
 fn touch(term: u64, at: u64, hosts: &[&str]) -> Touch {
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn ages_add_up_over_terms_and_are_forgotten() {
+fn ages_add_up_over_terms_and_expire() {
     let mut touched = Touched::default();
     assert!(!touched.is_kept());
     touched.apply(&touch(3, 1_000, &["a", "b"]));
     touched.apply(&touch(3, 1_500, &["b"]));
     touched.apply(&touch(3, 2_000, &[]));
-    // What a term says after a later one began, it had said before.
+    // The time in a term counts up to the last record of that term.
     touched.apply(&touch(5, 300, &["c"]));
     let ages: Vec<_> = touched.ages().map(|(_, age)| age.as_millis()).collect();
     assert_eq!(ages, [1_300, 800, 0]);
@@ -37,7 +37,7 @@
     assert!(touched.is_kept());
 }
 
-/// Two queues that have their rush by turns, while leaders come and go.
+/// Simulates two queues with alternating peaks, while leaders are deposed and elected.
 fn play(seed: u64, protections: Protections) -> World {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut world = World::new(4, seed);
@@ -68,11 +68,11 @@
 }
 
 #[test]
-fn leaders_do_not_take_turns_on_a_host() {
+fn successive_leaders_keep_their_orders_about_a_host_apart() {
     let moves: usize = (0..SEEDS)
         .map(|seed| play(seed, Protections::default()).moves)
         .sum();
-    assert!(moves > 200, "{moves} moves put it to the test");
+    assert!(moves > 200, "only {moves} moves; too few for the test");
 }
 
 #[test]
@@ -84,13 +84,16 @@
         };
         std::panic::catch_unwind(|| play(*seed, protections)).is_err()
     });
-    assert!(broken.count() > 0, "some leaders take turns");
+    assert!(
+        broken.count() > 0,
+        "without the record some orders come too close together"
+    );
 }
 
-/// A host that its predecessor moved comes back while nobody leads, is named by a wave, and is heard
-/// of only after the new leader has begun with it, which then has to wait.
+/// A host that the previous leader moved comes back while there is no leader, and is part of a wave. The new
+/// leader starts to act on it before its agent is heard, and then has to wait with its order.
 #[test]
-fn a_host_that_must_be_waited_for_gets_no_work_that_is_then_ended() {
+fn a_host_with_a_delayed_order_gets_no_tasks_that_are_then_ended() {
     for seed in 0..16 {
         let mut world = World::new(2, seed);
         for host in 10..14 {
@@ -118,7 +121,7 @@
 }
 
 #[test]
-fn a_new_leader_moves_what_nobody_touched_at_once() {
+fn a_new_leader_moves_hosts_without_recent_orders_at_once() {
     let mut world = World::new(2, 4);
     for host in 10..16 {
         world.host(&format!("h{host}"), OTHER);
--- a/tests/workload/workspaces.rs
+++ b/tests/workload/workspaces.rs
@@ -1,4 +1,4 @@
-//! Who may call, and what of others.
+//! Keys of workspaces, the visibility of jobs, and caps.
 
 use std::time::Duration;
 
@@ -50,9 +50,9 @@
     catalog(vec![workspace("a", &["ka", "kb"]), workspace("b", &["kc"])])
 }
 
-/// No key was asked for, so that any caller was served.
+/// Guards against queues that serve any caller because no key is checked.
 #[test]
-fn a_queue_that_asks_for_a_key_serves_its_holders_alone() {
+fn a_queue_that_requires_a_key_serves_only_callers_with_one() {
     let catalog = two();
     let keyed = catalog.queue("keyed").unwrap();
     let name = |text: &str| {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_queue_that_asks_for_no_key_serves_all() {
+fn a_queue_that_requires_no_key_serves_all_callers() {
     let catalog = two();
     let open = catalog.queue("open").unwrap();
     for shown in [None, Some(key("never")), Some(key("ka"))] {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_job_is_seen_by_its_own_workspace_whichever_key_it_shows() {
+fn a_job_is_visible_to_its_own_workspace_under_each_of_its_keys() {
     let catalog = two();
     let [a, b] = ["ka", "kc"].map(|text| catalog.holder(key(text)));
     let spec = JobSpec::new("x", vec![StepSpec::new(1, Duration::from_secs(1))]);
@@ -84,14 +84,14 @@
     job.workspace = Some("a".into());
     assert!(catalog.may_see(a, &job) && catalog.may_see(catalog.holder(key("kb")), &job));
     assert!(!catalog.may_see(b, &job) && !catalog.may_see(None, &job));
-    // Its queue asks for no key any more, so that its own callers show none.
+    // Its queue requires no key any more, so that its own callers present none.
     job.queue = "open".into();
     assert!(catalog.may_see(None, &job));
 }
 
-/// A catalog in which two workspaces share a key was taken.
+/// Guards against accepting a catalog in which two workspaces share a key.
 #[test]
-fn a_key_tells_one_workspace() {
+fn a_key_belongs_to_one_workspace() {
     let shared = catalog(vec![
         workspace("a", &["ka", "secret"]),
         workspace("b", &["secret"]),
@@ -116,9 +116,9 @@
     assert_eq!(two().check(), Ok(()));
 }
 
-/// Keys stood in what is shown of a catalog.
+/// Guards against keys in the `Debug` output of a catalog.
 #[test]
-fn no_key_is_shown() {
+fn debug_output_contains_no_key() {
     let text = br#"{"apiKeys":["top-secret"]}"#.as_slice();
     let document = Document {
         version: 1,
@@ -133,22 +133,22 @@
 }
 
 #[test]
-fn each_kind_of_room_has_its_cap() {
-    let room = |millicores, memory| Resources {
+fn each_kind_of_resource_has_its_cap() {
+    let resources = |millicores, memory| Resources {
         millicores,
         memory,
         ..Resources::default()
     };
-    let cap = Cap(room(4000, 100));
-    assert!(cap.allows(&room(2000, 50), &room(1000, 25), 2));
-    assert!(!cap.allows(&room(2000, 50), &room(1000, 26), 2));
-    assert!(!cap.allows(&room(2000, 50), &room(1000, 1), 3));
+    let cap = Cap(resources(4000, 100));
+    assert!(cap.allows(&resources(2000, 50), &resources(1000, 25), 2));
+    assert!(!cap.allows(&resources(2000, 50), &resources(1000, 26), 2));
+    assert!(!cap.allows(&resources(2000, 50), &resources(1000, 1), 3));
     assert!(
-        cap.allows(&room(0, 0), &room(2000, 1), 3),
-        "one task beyond"
+        cap.allows(&resources(0, 0), &resources(2000, 1), 3),
+        "the last task alone may exceed the cap"
     );
-    assert!(!cap.allows(&room(0, 0), &room(2000, 1), 4));
-    assert_eq!(cap.width(&room(1000, 50)), 2);
-    assert_eq!(cap.width(&room(9000, 1)), 1);
-    assert_eq!(Cap::default().width(&room(9000, 1)), u32::MAX);
+    assert!(!cap.allows(&resources(0, 0), &resources(2000, 1), 4));
+    assert_eq!(cap.width(&resources(1000, 50)), 2);
+    assert_eq!(cap.width(&resources(9000, 1)), 1);
+    assert_eq!(Cap::default().width(&resources(9000, 1)), u32::MAX);
 }
