--- a/src/core/workload/catalog.rs
+++ b/src/core/workload/catalog.rs
@@ -5,7 +5,7 @@
 //! other. It never holds a key itself, only the [`KeyDigest`]s.
 //!
 //! ```
-//! use egretpin::core::workload::catalog::{Catalog, Place, QueueSpec};
+//! use egretpin::core::workload::catalog::{Catalog, PathTarget, QueueSpec};
 //!
 //! let queue = |name: &str, prefix: &str| QueueSpec {
 //!     name: name.into(),
@@ -14,7 +14,7 @@
 //!     ..QueueSpec::default()
 //! };
 //! let catalog = Catalog::new(1, vec![queue("all", "/"), queue("night", "/night/")], Vec::new());
-//! let Some((found, Place::Job(id))) = catalog.find("a.example", "/night/00000000000000ff") else {
+//! let Some((found, PathTarget::Job(id))) = catalog.find("a.example", "/night/00000000000000ff") else {
 //!     panic!("the longest prefix wins");
 //! };
 //! assert_eq!((&*found.name, id), ("night", 255));
@@ -68,7 +68,7 @@
     /// How long a call may take.
     pub timeout: Duration,
     /// Added to the stretched critical path of a job to get its objective, the time that the job should take.
-    pub target: Duration,
+    pub objective_offset: Duration,
     /// The factor by which the critical path of a job is multiplied to get its objective.
     pub stretch: f64,
     /// The priority of its jobs; 0 is the highest.
@@ -76,9 +76,9 @@
     /// The pool whose hosts run its tasks.
     pub pool: PoolId,
     /// Whether its callers must present a key of a workspace.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// The number of failed attempts of one task after which its job fails.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// What a query for the agents that may run a step costs; `None` if no query is needed.
     pub eligibility: Option<Eligibility>,
 }
@@ -87,11 +87,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Eligibility {
     /// The time that each query takes.
-    pub decision: Duration,
+    pub per_query: Duration,
     /// The additional time for each agent in a query.
-    pub each: Duration,
+    pub per_agent: Duration,
     /// How long an answer stays valid.
-    pub valid: Duration,
+    pub valid_for: Duration,
 }
 
 /// A pool as operators declare it: the hosts that run the tasks of some queues.
@@ -102,7 +102,7 @@
     /// Whether it holds spare hosts for other pools, which are switched off until needed.
     pub spare: bool,
     /// Whether its agents refuse tasks that don't fit into their free capacity.
-    pub guarded: bool,
+    pub admission_control: bool,
 }
 
 /// The limits on calls.
@@ -110,23 +110,27 @@
 #[derive(Deserialize, Serialize)]
 pub struct CallLimits {
     /// The largest header section of a request, in bytes.
-    pub head: usize,
+    #[serde(rename = "head")]
+    pub header_bytes: usize,
     /// The largest body of a request, in bytes.
-    pub body: usize,
+    #[serde(rename = "body")]
+    pub body_bytes: usize,
     /// How long a request's header section may take to arrive.
-    pub head_time: Duration,
+    #[serde(rename = "head_time")]
+    pub header_timeout: Duration,
     /// How long a connection may stay idle.
-    pub idle: Duration,
+    #[serde(rename = "idle")]
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallLimits {
     /// The limits of a catalog that declares none: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 256 * 1024,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            header_bytes: 16 * 1024,
+            body_bytes: 256 * 1024,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -137,7 +141,7 @@
 pub enum CatalogError {
     /// Two queues share a virtual host and a prefix.
     #[snafu(display("queues {first} and {second} share host {host} and prefix {prefix}"))]
-    SamePlace {
+    DuplicateRoute {
         /// The queue that is declared first.
         first: Name,
         /// The other queue.
@@ -149,7 +153,7 @@
     },
     /// Two queues or pools share a name.
     #[snafu(display("the name {name} is declared twice"))]
-    SameName {
+    DuplicateName {
         /// The name.
         name: Name,
     },
@@ -177,13 +181,13 @@
     },
     /// A workspace is declared twice.
     #[snafu(display("workspace {workspace} is declared twice"))]
-    SameWorkspace {
+    DuplicateWorkspace {
         /// The workspace.
         workspace: WorkspaceId,
     },
     /// A workspace has a key twice.
     #[snafu(display("workspace {workspace} lists a key twice; list each key once"))]
-    RepeatedKey {
+    DuplicateKey {
         /// The workspace.
         workspace: WorkspaceId,
     },
@@ -193,8 +197,8 @@
     /// The part of the catalog that is wrong.
     pub fn part(&self) -> CatalogPart {
         match self {
-            Self::SharedKey { .. } | Self::RepeatedKey { .. } => CatalogPart::Keys,
-            Self::SameWorkspace { .. } => CatalogPart::Workspaces,
+            Self::SharedKey { .. } | Self::DuplicateKey { .. } => CatalogPart::Keys,
+            Self::DuplicateWorkspace { .. } => CatalogPart::Workspaces,
             _ => CatalogPart::Queues,
         }
     }
@@ -219,7 +223,7 @@
 
 /// What the rest of a path, after the prefix of its queue, refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum PathTarget {
     /// The queue itself.
     Queue,
     /// One of its jobs.
@@ -275,13 +279,16 @@
         let mut pools: Set<&Name> = Set::default();
         for pool in &self.pools {
             let name = &pool.name;
-            ensure!(pools.insert(name), SameNameSnafu { name: name.clone() });
+            ensure!(
+                pools.insert(name),
+                DuplicateNameSnafu { name: name.clone() }
+            );
         }
         let mut names: Set<&Name> = Set::default();
         let mut places: Map<(&Name, &Name), &QueueSpec> = Map::default();
         for queue in &self.queues {
             let name = queue.name.clone();
-            ensure!(names.insert(&queue.name), SameNameSnafu { name });
+            ensure!(names.insert(&queue.name), DuplicateNameSnafu { name });
             ensure!(
                 pools.contains(&queue.pool),
                 UnknownPoolSnafu {
@@ -296,7 +303,7 @@
                 }
             );
             if let Some(first) = places.insert((&queue.host, &queue.prefix), queue) {
-                return Err(CatalogError::SamePlace {
+                return Err(CatalogError::DuplicateRoute {
                     first: first.name.clone(),
                     second: queue.name.clone(),
                     host: queue.host.clone(),
@@ -315,13 +322,13 @@
         } in &self.workspaces
         {
             let workspace = name.clone();
-            ensure!(names.insert(name), SameWorkspaceSnafu { workspace });
+            ensure!(names.insert(name), DuplicateWorkspaceSnafu { workspace });
             for key in own {
                 let Some(first) = keys.insert(*key, name) else {
                     continue;
                 };
                 let (first, second) = (first.clone(), name.clone());
-                ensure!(first != second, RepeatedKeySnafu { workspace: second });
+                ensure!(first != second, DuplicateKeySnafu { workspace: second });
                 return SharedKeySnafu { first, second }.fail();
             }
         }
@@ -329,7 +336,7 @@
     }
 
     /// The workspace that has a key.
-    pub fn holder(&self, key: KeyDigest) -> Option<&WorkspaceSpec> {
+    pub fn workspace_for_key(&self, key: KeyDigest) -> Option<&WorkspaceSpec> {
         self.by_key.get(&key).map(|ix| &self.workspaces[*ix])
     }
 
@@ -344,17 +351,19 @@
         queue: &QueueSpec,
         key: Option<KeyDigest>,
     ) -> Result<Option<&WorkspaceSpec>, Denied> {
-        if !queue.keyed {
+        if !queue.requires_key {
             return Ok(None);
         }
-        let holder = key.and_then(|key| self.holder(key));
+        let holder = key.and_then(|key| self.workspace_for_key(key));
         holder.map(Some).ok_or(Denied)
     }
 
     /// Whether a caller, of a workspace or of none, may see and cancel a job. That holds for jobs of its own
     /// workspace, for jobs without a workspace and for jobs of queues that require no key.
     pub fn may_see(&self, caller: Option<&WorkspaceSpec>, job: &Job) -> bool {
-        let open = self.queue(&job.queue).is_some_and(|queue| !queue.keyed);
+        let open = self
+            .queue(&job.queue)
+            .is_some_and(|queue| !queue.requires_key);
         let owner = job.workspace.as_ref();
         open || owner.is_none_or(|owner| caller.is_some_and(|caller| caller.name == *owner))
     }
@@ -366,12 +375,12 @@
     }
 
     /// The queue with the longest prefix of a path, and what the rest of the path refers to.
-    pub fn find(&self, host: &str, path: &str) -> Option<(&QueueSpec, Place)> {
+    pub fn find(&self, host: &str, path: &str) -> Option<(&QueueSpec, PathTarget)> {
         let queues = self.by_host.get(host)?.iter().map(|ix| &self.queues[*ix]);
         let queue = queues
             .into_iter()
             .find(|queue| path.starts_with(&*queue.prefix))?;
-        Some((queue, place(&path[queue.prefix.len()..])))
+        Some((queue, parse_target(&path[queue.prefix.len()..])))
     }
 
     /// A queue by its name.
@@ -386,15 +395,15 @@
 }
 
 /// Parses the part of a path after the prefix of its queue. A job is exactly 16 hexadecimal digits.
-fn place(rest: &str) -> Place {
+fn parse_target(rest: &str) -> PathTarget {
     /// The number of hexadecimal digits of a job's number.
     const DIGITS: usize = 16;
     if rest.is_empty() {
-        return Place::Queue;
+        return PathTarget::Queue;
     }
     let hex = rest.len() == DIGITS && rest.bytes().all(|b| b.is_ascii_hexdigit());
     match JobId::from_str_radix(rest, 16) {
-        Ok(id) if hex => Place::Job(id),
-        _ => Place::Nothing,
+        Ok(id) if hex => PathTarget::Job(id),
+        _ => PathTarget::Nothing,
     }
 }
--- a/src/core/workload/command.rs
+++ b/src/core/workload/command.rs
@@ -13,7 +13,7 @@
     job::TaskId,
     spec::JobSpec,
     suspicion::Crash,
-    touched::Touch,
+    touched::OrderIntent,
 };
 use crate::core::{
     cluster::Cluster,
@@ -36,7 +36,8 @@
     /// Register an incarnation of an agent, or update what is known of it.
     Agent(Box<AgentRecord>),
     /// An incarnation of an agent has terminated, and with it all attempts that ran there.
-    Gone(MinionId),
+    #[serde(rename = "Gone")]
+    Terminated(MinionId),
     /// Apply what one round of the scheduler decided.
     Round(Round),
     /// Add a wave of maintenance, unless its number is taken.
@@ -53,7 +54,8 @@
     /// An incarnation of an agent was lost, and a task that ran there may have crashed its host.
     Crashed(Crash),
     /// Set the identity of the cluster, unless it has one. Earlier releases can't decode this command.
-    Found(Cluster),
+    #[serde(rename = "Found")]
+    SetCluster(Cluster),
 }
 
 impl Command {
@@ -112,7 +114,8 @@
     /// The specification of the job.
     pub spec: JobSpec,
     /// When the leader accepted it, by the leader's clock.
-    pub accepted: Wall,
+    #[serde(rename = "accepted")]
+    pub accepted_at: Wall,
 }
 
 /// One incarnation of an agent.
@@ -134,7 +137,8 @@
     /// Its labels; the last one is its rack.
     pub labels: Vec<Name>,
     /// The resources that its tasks may use altogether.
-    pub room: Resources,
+    #[serde(rename = "room")]
+    pub capacity: Resources,
     /// Whether it is going to shut down and accepts no more tasks.
     pub leaving: bool,
     /// The number of the last end of an attempt that it reported and that was applied.
@@ -158,7 +162,7 @@
     /// Whether `known` is a record of the same incarnation that an earlier release wrote under the agent's
     /// name instead of the incarnation's id. The numbers of heartbeats start over with each incarnation, so
     /// that a lower number shows another incarnation.
-    pub(super) fn is_later_of(&self, known: &Self) -> bool {
+    pub(super) fn replaces_legacy(&self, known: &Self) -> bool {
         known.id == self.name
             && known.id != self.id
             && known.address == self.address
@@ -174,7 +178,7 @@
     pub fn differs(&self, later: &Self) -> bool {
         self.pool != later.pool
             || self.address != later.address
-            || self.room != later.room
+            || self.capacity != later.capacity
             || self.labels != later.labels
             || (later.leaving && !self.leaving)
     }
@@ -185,26 +189,26 @@
 #[derive(Deserialize, Serialize)]
 pub struct Round {
     /// The ends of attempts that agents reported.
-    pub ends: Vec<Ends>,
+    pub ends: Vec<EndBatch>,
     /// Attempts that are certain not to be running and never to start.
-    pub freed: Vec<Placed>,
+    pub freed: Vec<Placement>,
     /// Jobs that fail because a task of theirs has failed too often.
     pub failed: Vec<JobId>,
     /// New attempts.
-    pub starts: Vec<Placed>,
+    pub starts: Vec<Placement>,
     /// The hosts that the leader is about to send orders about. Absent in rounds of earlier releases.
-    #[serde(default)]
-    pub touch: Option<Touch>,
+    #[serde(rename = "touch", default)]
+    pub intent: Option<OrderIntent>,
     /// Poison tasks, which crash the hosts they run on; their jobs fail.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub convicted: Vec<TaskId>,
+    #[serde(rename = "convicted", default, skip_serializing_if = "Vec::is_empty")]
+    pub poison_tasks: Vec<TaskId>,
     /// Long-running tasks whose evidence is dropped, since they have run long enough without a crash.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cleared: Vec<TaskId>,
     /// Attempts that their agents haven't reported as started, although they were asked, and attempts whose
     /// order couldn't be sent. Absent in rounds of earlier releases.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub unbegun: Vec<Placed>,
+    #[serde(rename = "unbegun", default, skip_serializing_if = "Vec::is_empty")]
+    pub not_started: Vec<Placement>,
     /// When the round was decided, by the leader's clock. Absent in rounds of earlier releases.
     #[serde(default)]
     pub at: Wall,
@@ -217,17 +221,17 @@
             && self.freed.is_empty()
             && self.failed.is_empty()
             && self.starts.is_empty()
-            && self.touch.is_none()
-            && self.convicted.is_empty()
+            && self.intent.is_none()
+            && self.poison_tasks.is_empty()
             && self.cleared.is_empty()
-            && self.unbegun.is_empty()
+            && self.not_started.is_empty()
     }
 }
 
 /// The placement of one attempt of a task at an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Placed {
+pub struct Placement {
     /// The task.
     pub task: TaskId,
     /// The number of the attempt.
@@ -239,19 +243,19 @@
 /// Ends of attempts that one agent reported, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Ends {
+pub struct EndBatch {
     /// The agent.
     pub agent: MinionId,
     /// The number of the last end in the batch.
     pub through: u64,
     /// The ends.
-    pub ends: Vec<End>,
+    pub ends: Vec<ReportedEnd>,
 }
 
 /// The end of one attempt, as its agent reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct End {
+pub struct ReportedEnd {
     /// The task.
     pub task: TaskId,
     /// The number of the attempt.
@@ -287,9 +291,12 @@
     /// The number of the wave, which the operator chose.
     pub wave: WaveId,
     /// The hosts that haven't started their maintenance yet.
-    pub left: Vec<HostId>,
+    #[serde(rename = "left")]
+    pub remaining: Vec<HostId>,
     /// The most hosts of the wave that may be in maintenance at once.
-    pub cap: u32,
+    #[serde(rename = "cap")]
+    pub max_concurrent: u32,
     /// When the wave has to be finished, by the clock of the leader that accepted it.
-    pub until: Wall,
+    #[serde(rename = "until")]
+    pub deadline: Wall,
 }
--- a/src/core/workload/job.rs
+++ b/src/core/workload/job.rs
@@ -106,7 +106,8 @@
     /// Its specification.
     pub spec: Arc<JobSpec>,
     /// When it was accepted, by the clock of the leader at that time.
-    pub accepted: Wall,
+    #[serde(rename = "accepted")]
+    pub accepted_at: Wall,
     /// Its state.
     pub state: JobState,
     /// Its occurrences that have started. Once an occurrence is finished, or the job has ended, its steps are
@@ -119,8 +120,8 @@
     pub evidence: Evidence,
     /// The poison task that made the job fail, if one did: it crashes the hosts it runs on. Absent in
     /// snapshots of earlier releases.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub convicted: Option<TaskId>,
+    #[serde(rename = "convicted", default, skip_serializing_if = "Option::is_none")]
+    pub poison_task: Option<TaskId>,
 }
 
 /// One occurrence of a job.
@@ -157,12 +158,16 @@
     pub checkpoint: Option<Name>,
     /// When the last attempt was placed, by the clock of the leader at that time. Absent in snapshots of
     /// earlier releases.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub began: Option<Wall>,
+    #[serde(rename = "began", default, skip_serializing_if = "Option::is_none")]
+    pub started_at: Option<Wall>,
     /// Whether the leader that placed the last attempt received no report that it started. Absent in
     /// snapshots of earlier releases.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub unbegun: bool,
+    #[serde(
+        rename = "unbegun",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
+    pub not_started: bool,
     /// The crashes of hosts under this task. For a batch task with at least one crash, it includes all crashes
     /// under batch tasks of its job. Absent in snapshots of earlier releases.
     #[serde(default, skip_serializing_if = "Evidence::is_none")]
@@ -177,17 +182,17 @@
             pool,
             workspace: None,
             spec: Arc::new(spec),
-            accepted,
+            accepted_at: accepted,
             state: JobState::Queued,
             runs: BTreeMap::new(),
             finished: 0,
             evidence: Evidence::default(),
-            convicted: None,
+            poison_task: None,
         }
     }
 
     /// Whether the job has ended: none of its tasks may start any more.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         !matches!(self.state, JobState::Queued | JobState::Running)
     }
 
@@ -204,18 +209,18 @@
     }
 
     /// Whether a task is a batch task, which finishes; long-running tasks run until the job is cancelled.
-    pub(super) fn is_short(&self, id: TaskId) -> bool {
+    pub(super) fn is_batch(&self, id: TaskId) -> bool {
         let spec = self.spec.steps.get(usize::from(id.step.step));
-        spec.is_some_and(|spec| !spec.lasting)
+        spec.is_some_and(|spec| !spec.long_running)
     }
 
     /// Drops the evidence that its batch tasks share, once all batch tasks under which hosts have crashed are
     /// done.
-    pub(super) fn acquit(&mut self, id: JobId) {
+    pub(super) fn clear_evidence(&mut self, id: JobId) {
         if self.evidence.is_none() {
             return;
         }
-        if !self.evidence(id).any(|(task, _)| self.is_short(task)) {
+        if !self.task_evidence(id).any(|(task, _)| self.is_batch(task)) {
             self.evidence = Evidence::default();
         }
     }
@@ -259,7 +264,7 @@
 
     /// The tasks that aren't done and under which hosts have crashed, each with its evidence. `id` is the
     /// number of this job.
-    pub fn evidence(&self, id: JobId) -> impl Iterator<Item = (TaskId, Evidence)> + '_ {
+    pub fn task_evidence(&self, id: JobId) -> impl Iterator<Item = (TaskId, Evidence)> + '_ {
         self.runs.iter().flat_map(move |(&occurrence, run)| {
             (0..).zip(&run.steps).flat_map(move |(step, tasks)| {
                 let step = StepId {
@@ -275,14 +280,14 @@
     }
 
     /// Whether all steps that a step depends on are done.
-    pub fn is_open(&self, id: StepId) -> bool {
+    pub fn is_ready(&self, id: StepId) -> bool {
         let Some(spec) = self.spec.steps.get(usize::from(id.step)) else {
             return false;
         };
         let Some(run) = self.runs.get(&id.occurrence) else {
             return spec.after.is_empty();
         };
-        spec.after.iter().all(|&before| run.is_done(before))
+        spec.after.iter().all(|&before| run.is_step_done(before))
     }
 }
 
@@ -302,13 +307,13 @@
     }
 
     /// Whether none of its tasks is placed.
-    pub(super) fn is_vacant(&self) -> bool {
+    pub(super) fn is_unplaced(&self) -> bool {
         let mut tasks = self.steps.iter().flat_map(|s| &s.tasks);
         tasks.all(|t| t.agent.is_none())
     }
 
     /// Whether all tasks of a step are done. False if the steps have been dropped.
-    pub fn is_done(&self, step: StepIx) -> bool {
+    pub fn is_step_done(&self, step: StepIx) -> bool {
         let step = self.steps.get(usize::from(step));
         step.is_some_and(Step::is_done)
     }
--- a/src/core/workload/ledger.rs
+++ b/src/core/workload/ledger.rs
@@ -39,13 +39,14 @@
 use super::{
     catalog::JobId,
     command::{
-        AgentRecord, Command, Document, End, Ending, Ends, Placed, Round, Submission, WaveRecord,
+        AgentRecord, Command, Document, EndBatch, Ending, Placement, ReportedEnd, Round,
+        Submission, WaveRecord,
     },
     job::{Job, JobState, StepId, Task, TaskId},
-    odds::Odds,
+    odds::PoisonRate,
     spec::StepIx,
-    suspicion::{Crash, Evidence, Seen},
-    touched::Touched,
+    suspicion::{Crash, Evidence, FailureRate},
+    touched::OrderIntents,
 };
 use crate::core::{
     cluster::Cluster,
@@ -60,7 +61,7 @@
 /// each lose an agent every ten seconds, this covers the last 80 seconds. Forgetting an incarnation does no
 /// harm by itself: an agent that is heard for the first time has to answer at its address before anything
 /// depends on it.
-const OVER: usize = 4096;
+const MAX_TERMINATED: usize = 4096;
 
 /// A change of the state, reported to the leader's scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -70,27 +71,27 @@
     /// A job was accepted.
     Accepted(JobId),
     /// A job has ended; its attempts that are still placed must be stopped.
-    Over(JobId),
+    JobEnded(JobId),
     /// All steps that a step depends on are done.
-    Opened(StepId),
+    StepReady(StepId),
     /// An attempt of a task was placed at an agent.
-    Placed(Placed),
+    Placed(Placement),
     /// An attempt isn't placed any more: it ended, or is certain not to run.
-    Vacated {
+    Unplaced {
         /// The attempt.
-        placed: Placed,
+        placed: Placement,
         /// Whether the task needs another attempt.
-        again: bool,
+        retry: bool,
     },
     /// A task is done, whichever attempt did it. It never runs again.
     Done {
         /// The task.
         task: TaskId,
         /// Whether the attempt that did it had been abandoned or superseded before.
-        late: bool,
+        was_abandoned: bool,
     },
     /// The task of a placed attempt was done by another attempt, so that this one isn't needed any more.
-    Superfluous(Placed),
+    Redundant(Placement),
     /// All ends that an agent reported, up to this one, have been applied.
     Acked {
         /// The agent.
@@ -102,7 +103,7 @@
     /// cause is known.
     Suspected(TaskId, Evidence),
     /// A job has failed because of this poison task, which crashes the hosts it runs on.
-    Convicted(TaskId),
+    PoisonTask(TaskId),
     /// An agent was registered, or its record was updated.
     Agent(MinionId),
     /// An incarnation that was recorded under its agent's name is now recorded under an id of its own. What
@@ -114,7 +115,7 @@
         to: MinionId,
     },
     /// An incarnation of an agent has terminated.
-    Gone(MinionId),
+    Terminated(MinionId),
     /// A wave of maintenance was added, or has fewer hosts left.
     Wave(WaveId),
 }
@@ -122,7 +123,7 @@
 /// A terminated incarnation of an agent, with the number of its last committed heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-struct Ended(MinionId, HeartbeatNumber);
+struct TerminatedAgent(MinionId, HeartbeatNumber);
 
 /// The number of a heartbeat of one incarnation.
 type HeartbeatNumber = u64;
@@ -137,18 +138,18 @@
     agents: BTreeMap<MinionId, AgentRecord>,
     waves: BTreeMap<WaveId, WaveRecord>,
     /// Terminated incarnations of agents, the latest last. Absent in snapshots of earlier releases.
-    #[serde(default)]
-    over: VecDeque<Ended>,
+    #[serde(rename = "over", default)]
+    terminated: VecDeque<TerminatedAgent>,
     /// The hosts that leaders have recently sent orders about. Absent in snapshots of earlier releases.
-    #[serde(default)]
-    touched: Touched,
+    #[serde(rename = "touched", default)]
+    intents: OrderIntents,
     /// How often hosts crash by themselves. Absent in snapshots of earlier releases.
-    #[serde(default)]
-    seen: Seen,
+    #[serde(rename = "seen", default)]
+    failure_rate: FailureRate,
     /// For each queue that has had a poison job, how likely its jobs are poison. Absent in snapshots of
     /// earlier releases.
-    #[serde(default)]
-    odds: BTreeMap<Name, Odds>,
+    #[serde(rename = "odds", default)]
+    poison_rates: BTreeMap<Name, PoisonRate>,
     /// The identity of the cluster. Absent in snapshots of earlier releases.
     #[serde(default)]
     cluster: Option<Cluster>,
@@ -172,14 +173,16 @@
             Command::Declare(document) => self.declare(document, &mut changes),
             Command::Submit(submission) => self.submit(submission, &mut changes),
             Command::Cancel(job) => self.end_job(*job, JobState::Cancelled, &mut changes),
-            Command::Agent(record) => self.know(record, &mut changes),
-            Command::Gone(agent) => self.bury(agent, &mut changes),
-            Command::Round(round) => self.round(round, &mut changes),
-            Command::Wave(wave) => self.wave(wave, &mut changes),
-            Command::Maintained { wave, hosts } => self.maintained(*wave, hosts, &mut changes),
+            Command::Agent(record) => self.register_agent(record, &mut changes),
+            Command::Terminated(agent) => self.remove_agent(agent, &mut changes),
+            Command::Round(round) => self.apply_round(round, &mut changes),
+            Command::Wave(wave) => self.add_wave(wave, &mut changes),
+            Command::Maintained { wave, hosts } => {
+                self.remove_from_wave(*wave, hosts, &mut changes)
+            }
             Command::Forget(jobs) => self.forget(jobs),
-            Command::Crashed(crash) => self.crash(crash, &mut changes),
-            Command::Found(cluster) => {
+            Command::Crashed(crash) => self.apply_crash(crash, &mut changes),
+            Command::SetCluster(cluster) => {
                 self.cluster.get_or_insert_with(|| cluster.clone());
             }
         }
@@ -224,9 +227,12 @@
     /// Whether a heartbeat is stale: its incarnation is remembered as terminated, and the heartbeat is no later
     /// than the last committed one. An incarnation that was declared terminated by mistake sends later
     /// heartbeats; it has to answer at its address like a new agent.
-    pub fn is_over(&self, record: &AgentRecord) -> bool {
-        let ended = self.over.iter().find(|Ended(agent, _)| *agent == record.id);
-        ended.is_some_and(|Ended(_, last)| record.sequence <= *last)
+    pub fn is_stale(&self, record: &AgentRecord) -> bool {
+        let ended = self
+            .terminated
+            .iter()
+            .find(|TerminatedAgent(agent, _)| *agent == record.id);
+        ended.is_some_and(|TerminatedAgent(_, last)| record.sequence <= *last)
     }
 
     /// The tasks that are placed at an agent.
@@ -250,44 +256,44 @@
     }
 
     /// The hosts that leaders may have recently sent orders about.
-    pub fn touched(&self) -> &Touched {
-        &self.touched
+    pub fn intents(&self) -> &OrderIntents {
+        &self.intents
     }
 
     /// How often hosts crash by themselves, as of the last crash.
-    pub fn seen(&self) -> Seen {
-        self.seen
+    pub fn failure_rate(&self) -> FailureRate {
+        self.failure_rate
     }
 
     /// How likely a job of a queue is poison: that it crashes the hosts it runs on.
-    pub fn odds(&self, queue: &str) -> Odds {
-        self.odds.get(queue).copied().unwrap_or_default()
+    pub fn poison_rate(&self, queue: &str) -> PoisonRate {
+        self.poison_rates.get(queue).copied().unwrap_or_default()
     }
 
     /// Whether the jobs of any queue are poison with more than a negligible probability.
-    pub fn has_odds(&self) -> bool {
-        self.odds.values().any(|odds| !odds.is_none())
+    pub fn has_poison_queue(&self) -> bool {
+        self.poison_rates.values().any(|rate| !rate.is_negligible())
     }
 
     /// Encodes a snapshot of the state.
-    pub fn image(&self) -> Payload {
+    pub fn snapshot(&self) -> Payload {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes).expect("writing to a Vec never fails");
         bytes.into()
     }
 
-    /// Restores the state from what [`Ledger::image`] returned.
+    /// Restores the state from what [`Ledger::snapshot`] returned.
     ///
     /// # Errors
     ///
     /// The bytes were written by another release, or are damaged.
-    pub fn from_image(bytes: &[u8]) -> Result<Self, ciborium::de::Error<std::io::Error>> {
+    pub fn from_snapshot(bytes: &[u8]) -> Result<Self, ciborium::de::Error<std::io::Error>> {
         let mut ledger: Self = ciborium::from_reader(bytes)?;
-        ledger.index();
+        ledger.rebuild_indexes();
         Ok(ledger)
     }
 
-    fn index(&mut self) {
+    fn rebuild_indexes(&mut self) {
         for (id, job) in &self.jobs {
             if job.state == JobState::Queued {
                 *self.pending.entry(job.queue.clone()).or_default() += 1;
@@ -298,13 +304,13 @@
         }
         let placed: Vec<_> = self.placed.values().flatten().copied().collect();
         for task in placed {
-            self.count(task, Resources::plus);
+            self.adjust_usage(task, Resources::plus);
         }
     }
 
     /// Adds or subtracts the resources of a task in the usage of its workspace.
-    fn count(&mut self, id: TaskId, change: impl Fn(&Resources, &Resources) -> Resources) {
-        let Some((workspace, need)) = self.claim(id) else {
+    fn adjust_usage(&mut self, id: TaskId, change: impl Fn(&Resources, &Resources) -> Resources) {
+        let Some((workspace, need)) = self.workspace_need(id) else {
             return;
         };
         let used = self.used.entry(workspace).or_default();
@@ -312,7 +318,7 @@
     }
 
     /// The workspace that a task belongs to, and the resources that count against its cap.
-    fn claim(&self, id: TaskId) -> Option<(WorkspaceId, Resources)> {
+    fn workspace_need(&self, id: TaskId) -> Option<(WorkspaceId, Resources)> {
         let job = self.jobs.get(&id.step.job)?;
         let spec = job.spec.steps.get(usize::from(id.step.step))?;
         Some((job.workspace.clone()?, spec.need))
@@ -341,7 +347,7 @@
             pool,
             workspace,
             spec,
-            accepted,
+            accepted_at: accepted,
             ..
         } = submission.clone();
         *self.pending.entry(queue.clone()).or_default() += 1;
@@ -351,7 +357,7 @@
         changes.push(Change::Accepted(id));
     }
 
-    fn know(&mut self, record: &AgentRecord, changes: &mut Vec<Change>) {
+    fn register_agent(&mut self, record: &AgentRecord, changes: &mut Vec<Change>) {
         let mut record = record.clone();
         if let Some(known) = self.agents.get(&record.id) {
             if record.sequence < known.sequence {
@@ -359,20 +365,21 @@
             }
             record.acked = known.acked;
             record.leaving |= known.leaving;
-        } else if self.is_over(&record) {
+        } else if self.is_stale(&record) {
             return;
         } else if let Some(known) = self.agents.get(record.name())
-            && record.is_later_of(known)
+            && record.replaces_legacy(known)
         {
-            return self.rename(record, changes);
+            return self.assign_id(record, changes);
         }
-        self.over.retain(|Ended(agent, _)| *agent != record.id);
+        self.terminated
+            .retain(|TerminatedAgent(agent, _)| *agent != record.id);
         changes.push(Change::Agent(record.id.clone()));
         self.agents.insert(record.id.clone(), record);
     }
 
     /// Records an incarnation, which was recorded under its agent's name so far, under an id of its own.
-    fn rename(&mut self, mut record: AgentRecord, changes: &mut Vec<Change>) {
+    fn assign_id(&mut self, mut record: AgentRecord, changes: &mut Vec<Change>) {
         let (from, to) = (record.name().clone(), record.id.clone());
         if let Some(known) = self.agents.remove(&from) {
             record.acked = known.acked;
@@ -389,85 +396,95 @@
         changes.push(Change::Renamed { from, to });
     }
 
-    fn bury(&mut self, agent: &MinionId, changes: &mut Vec<Change>) {
+    fn remove_agent(&mut self, agent: &MinionId, changes: &mut Vec<Change>) {
         let known = self.agents.get(agent);
         // The end of an incarnation may be committed before its first heartbeat.
-        if known.is_some() || self.over.iter().all(|Ended(over, _)| over != agent) {
+        if known.is_some()
+            || self
+                .terminated
+                .iter()
+                .all(|TerminatedAgent(other, _)| other != agent)
+        {
             let last = known.map_or(0, |known| known.sequence);
-            self.over.push_back(Ended(agent.clone(), last));
+            self.terminated
+                .push_back(TerminatedAgent(agent.clone(), last));
         }
-        while self.over.len() > OVER {
-            self.over.pop_front();
+        while self.terminated.len() > MAX_TERMINATED {
+            self.terminated.pop_front();
         }
         if self.agents.remove(agent).is_none() {
             return;
         }
         for task in self.placed.remove(agent).unwrap_or_default() {
-            self.count(task, Resources::minus);
-            self.vacate(task, agent, changes);
+            self.adjust_usage(task, Resources::minus);
+            self.report_unplaced(task, agent, changes);
         }
-        changes.push(Change::Gone(agent.clone()));
+        changes.push(Change::Terminated(agent.clone()));
     }
 
-    fn crash(&mut self, crash: &Crash, changes: &mut Vec<Change>) {
-        self.seen = crash.seen;
+    fn apply_crash(&mut self, crash: &Crash, changes: &mut Vec<Change>) {
+        self.failure_rate = crash.failure_rate;
         let mut judged = BTreeSet::new();
         for present in &crash.tasks {
             let id = present.task;
             let job = self.jobs.get_mut(&id.step.job);
-            let Some(job) = job.filter(|job| !job.is_over()) else {
+            let Some(job) = job.filter(|job| !job.has_ended()) else {
                 continue;
             };
-            let stands = |task: &&mut Task| is_at(task, &crash.agent) && !task.done;
+            let stands = |task: &&mut Task| is_placed_at(task, &crash.agent) && !task.done;
             let Some(task) = job.task_mut(id).filter(stands) else {
                 continue;
             };
-            task.evidence.own.note(present.sudden, present.begun);
+            task.evidence
+                .own
+                .record(present.timing_weight, present.started);
             let mut evidence = task.evidence;
-            if !job.is_short(id) {
-                evidence.note(present.weight, present.worked);
+            if !job.is_batch(id) {
+                evidence.record(present.weight, present.run_time);
             } else {
                 // The batch tasks of a job are alike, so that a crash under several of them counts once.
                 if judged.insert(id.step.job) {
-                    job.evidence.note(present.weight, present.worked);
-                    let others = job.evidence(id.step.job).map(|(other, _)| other);
-                    let others = others.filter(|other| job.is_short(*other));
+                    job.evidence.record(present.weight, present.run_time);
+                    let others = job.task_evidence(id.step.job).map(|(other, _)| other);
+                    let others = others.filter(|other| job.is_batch(*other));
                     let others: Vec<_> = others.collect();
                     for other in others {
-                        job.hold(other, job.evidence, changes);
+                        job.set_evidence(other, job.evidence, changes);
                     }
                 }
                 evidence = job.evidence;
             }
-            job.hold(id, evidence, changes);
+            job.set_evidence(id, evidence, changes);
         }
-        self.bury(&crash.agent, changes);
+        self.remove_agent(&crash.agent, changes);
     }
 
-    fn round(&mut self, round: &Round, changes: &mut Vec<Change>) {
+    fn apply_round(&mut self, round: &Round, changes: &mut Vec<Change>) {
         for ends in &round.ends {
-            self.take_ends(ends, changes);
+            self.apply_ends(ends, changes);
         }
         for freed in &round.freed {
             let task = self.task(freed.task);
-            let stands = task.is_some_and(|t| is_at(t, &freed.agent) && t.attempt == freed.attempt);
+            let stands =
+                task.is_some_and(|t| is_placed_at(t, &freed.agent) && t.attempt == freed.attempt);
             if stands {
                 self.unplace(freed.task, &freed.agent);
-                self.vacate(freed.task, &freed.agent, changes);
+                self.report_unplaced(freed.task, &freed.agent, changes);
             }
         }
         for job in &round.failed {
             self.end_job(*job, JobState::Failed, changes);
         }
-        for task in &round.convicted {
-            self.convict(*task, changes);
+        for task in &round.poison_tasks {
+            self.fail_as_poison(*task, changes);
         }
-        for unbegun in &round.unbegun {
-            let task = self.task_mut(unbegun.task);
-            let stands =
-                |task: &&mut Task| is_at(task, &unbegun.agent) && task.attempt == unbegun.attempt;
+        for start in &round.not_started {
+            let task = self.task_mut(start.task);
+            let stands = |task: &&mut Task| {
+                is_placed_at(task, &start.agent) && task.attempt == start.attempt
+            };
             if let Some(task) = task.filter(stands) {
-                task.unbegun = true;
+                task.not_started = true;
             }
         }
         for id in &round.cleared {
@@ -476,14 +493,14 @@
             }
         }
         for start in &round.starts {
-            self.place(start, round.at, changes);
+            self.apply_start(start, round.at, changes);
         }
-        if let Some(touch) = &round.touch {
-            self.touched.apply(touch);
+        if let Some(intent) = &round.intent {
+            self.intents.apply(intent);
         }
     }
 
-    fn take_ends(&mut self, ends: &Ends, changes: &mut Vec<Change>) {
+    fn apply_ends(&mut self, ends: &EndBatch, changes: &mut Vec<Change>) {
         let Some(agent) = self.agents.get_mut(&ends.agent) else {
             return;
         };
@@ -492,7 +509,7 @@
         }
         agent.acked = ends.through;
         for end in &ends.ends {
-            self.take_end(&ends.agent, end, changes);
+            self.apply_end(&ends.agent, end, changes);
         }
         changes.push(Change::Acked {
             agent: ends.agent.clone(),
@@ -504,10 +521,10 @@
     ///
     /// The attempt is placed at this incarnation or at an earlier one of the same agent. Orders address the
     /// agent by name, so that a later incarnation may have carried out an order to an earlier one.
-    fn take_end(&mut self, agent: &MinionId, end: &End, changes: &mut Vec<Change>) {
+    fn apply_end(&mut self, agent: &MinionId, end: &ReportedEnd, changes: &mut Vec<Change>) {
         let holder = self.task(end.task).filter(|t| t.attempt == end.attempt);
         let holder = holder.and_then(|task| task.agent.clone());
-        let holder = holder.filter(|holder| self.are_one_agent(holder, agent));
+        let holder = holder.filter(|holder| self.is_same_agent(holder, agent));
         let Some(task) = self.task_mut(end.task) else {
             return;
         };
@@ -518,16 +535,16 @@
             }
         }
         if end.how == Ending::Done {
-            self.done(end.task, end.attempt, changes);
+            self.complete_task(end.task, end.attempt, changes);
         }
         if let Some(holder) = holder {
             self.unplace(end.task, &holder);
-            self.vacate(end.task, &holder, changes);
+            self.report_unplaced(end.task, &holder, changes);
         }
     }
 
     /// Whether two incarnations belong to the same agent.
-    fn are_one_agent(&self, one: &MinionId, other: &MinionId) -> bool {
+    fn is_same_agent(&self, one: &MinionId, other: &MinionId) -> bool {
         let name = |id| self.agents.get(id).map(AgentRecord::name);
         one == other || name(one).is_some_and(|one| Some(one) == name(other))
     }
@@ -536,7 +553,7 @@
     ///
     /// An attempt that was abandoned when its agent's lease expired may turn out to have completed before
     /// that. The attempt that was placed since then is redundant.
-    fn done(&mut self, id: TaskId, attempt: Attempt, changes: &mut Vec<Change>) {
+    fn complete_task(&mut self, id: TaskId, attempt: Attempt, changes: &mut Vec<Change>) {
         let StepId {
             job, occurrence, ..
         } = id.step;
@@ -548,7 +565,7 @@
             return;
         };
         // A long-running task is never done. If its agent reports it as done, it is started again.
-        if spec.lasting {
+        if spec.long_running {
             return;
         }
         let Some(run) = found.runs.get_mut(&occurrence) else {
@@ -563,10 +580,13 @@
             newly += 1;
             let other = TaskId { task: ix, ..id };
             let same = task.attempt == attempt;
-            let late = !same || task.agent.is_none();
-            changes.push(Change::Done { task: other, late });
+            let was_abandoned = !same || task.agent.is_none();
+            changes.push(Change::Done {
+                task: other,
+                was_abandoned,
+            });
             if let Some(agent) = task.agent.clone().filter(|_| !same) {
-                changes.push(Change::Superfluous(Placed {
+                changes.push(Change::Redundant(Placement {
                     task: other,
                     attempt: task.attempt,
                     agent,
@@ -574,8 +594,8 @@
             }
         }
         run.steps[step].done += newly;
-        found.acquit(job);
-        let over = found.is_over();
+        found.clear_evidence(job);
+        let over = found.has_ended();
         let Some(run) = found.runs.get(&occurrence) else {
             return;
         };
@@ -585,8 +605,8 @@
         for (ix, later) in found.spec.steps.iter().enumerate() {
             let follows = later.after.iter().any(|&b| usize::from(b) == step);
             // In a job that was cancelled or has failed, no further step becomes ready.
-            if !over && follows && later.after.iter().all(|&b| run.is_done(b)) {
-                changes.push(Change::Opened(StepId {
+            if !over && follows && later.after.iter().all(|&b| run.is_step_done(b)) {
+                changes.push(Change::StepReady(StepId {
                     job,
                     occurrence,
                     step: StepIx::try_from(ix).unwrap_or(StepIx::MAX),
@@ -601,14 +621,14 @@
         }
     }
 
-    fn place(&mut self, start: &Placed, at: Wall, changes: &mut Vec<Change>) {
+    fn apply_start(&mut self, start: &Placement, at: Wall, changes: &mut Vec<Change>) {
         if !self.agents.contains_key(&start.agent) {
             return;
         }
         let Some(job) = self.jobs.get_mut(&start.task.step.job) else {
             return;
         };
-        if job.is_over() {
+        if job.has_ended() {
             return;
         }
         let first = job.state == JobState::Queued;
@@ -625,19 +645,19 @@
         }
         let before = task.agent.replace(start.agent.clone());
         task.attempt = start.attempt;
-        task.began = (!at.is_zero()).then_some(at);
-        task.unbegun = false;
+        task.started_at = (!at.is_zero()).then_some(at);
+        task.not_started = false;
         if first {
             job.state = JobState::Running;
             let queue = job.queue.clone();
-            self.begun(&queue);
+            self.decrement_pending(&queue);
         }
         if let Some(before) = before {
             self.unindex(start.task, &before);
         }
         let placed = self.placed.entry(start.agent.clone()).or_default();
         if placed.insert(start.task) {
-            self.count(start.task, Resources::plus);
+            self.adjust_usage(start.task, Resources::plus);
         }
         changes.push(Change::Placed(start.clone()));
     }
@@ -646,39 +666,42 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.is_over() {
+        if job.has_ended() {
             return;
         }
         let queued = job.state == JobState::Queued;
         job.state = state;
         let queue = job.queue.clone();
         if state == JobState::Completed
-            && let Some(odds) = self.odds.get_mut(&queue)
+            && let Some(rate) = self.poison_rates.get_mut(&queue)
         {
-            odds.note(false);
+            rate.record(false);
         }
         if queued {
-            self.begun(&queue);
+            self.decrement_pending(&queue);
         }
-        changes.push(Change::Over(id));
-        self.slim(id);
+        changes.push(Change::JobEnded(id));
+        self.drop_tasks(id);
     }
 
-    fn convict(&mut self, task: TaskId, changes: &mut Vec<Change>) {
+    fn fail_as_poison(&mut self, task: TaskId, changes: &mut Vec<Change>) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
             return;
         };
-        if !job.is_over() {
-            job.convicted = Some(task);
-            if job.is_short(task) {
-                self.odds.entry(job.queue.clone()).or_default().note(true);
+        if !job.has_ended() {
+            job.poison_task = Some(task);
+            if job.is_batch(task) {
+                self.poison_rates
+                    .entry(job.queue.clone())
+                    .or_default()
+                    .record(true);
             }
-            changes.push(Change::Convicted(task));
+            changes.push(Change::PoisonTask(task));
             self.end_job(task.step.job, JobState::Failed, changes);
         }
     }
 
-    fn begun(&mut self, queue: &Name) {
+    fn decrement_pending(&mut self, queue: &Name) {
         if let Some(count) = self.pending.get_mut(queue) {
             *count = count.saturating_sub(1);
         }
@@ -695,39 +718,39 @@
     fn unindex(&mut self, id: TaskId, agent: &MinionId) {
         let placed = self.placed.get_mut(agent);
         if placed.is_some_and(|placed| placed.remove(&id)) {
-            self.count(id, Resources::minus);
+            self.adjust_usage(id, Resources::minus);
         }
     }
 
     /// Reports that an attempt isn't placed any more, after clearing its placement in the job.
-    fn vacate(&mut self, id: TaskId, agent: &MinionId, changes: &mut Vec<Change>) {
+    fn report_unplaced(&mut self, id: TaskId, agent: &MinionId, changes: &mut Vec<Change>) {
         let Some(job) = self.jobs.get(&id.step.job) else {
             return;
         };
-        let over = job.is_over();
+        let over = job.has_ended();
         let Some(task) = self.task_mut(id) else {
             return;
         };
         task.agent = None;
-        let placed = Placed {
+        let placed = Placement {
             task: id,
             attempt: task.attempt,
             agent: agent.clone(),
         };
-        let again = !over && !task.done;
-        changes.push(Change::Vacated { placed, again });
-        self.slim(id.step.job);
+        let retry = !over && !task.done;
+        changes.push(Change::Unplaced { placed, retry });
+        self.drop_tasks(id.step.job);
     }
 
     /// Drops the steps of a job's finished occurrences, or of all occurrences if the job has ended. An
     /// occurrence with a task that may still run keeps its steps.
-    fn slim(&mut self, id: JobId) {
+    fn drop_tasks(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let over = job.is_over();
+        let over = job.has_ended();
         for run in job.runs.values_mut() {
-            if (over || run.is_finished()) && run.is_vacant() {
+            if (over || run.is_finished()) && run.is_unplaced() {
                 run.steps = Vec::new();
             }
         }
@@ -741,16 +764,16 @@
         self.jobs.get_mut(&id.step.job)?.task_mut(id)
     }
 
-    fn wave(&mut self, wave: &WaveRecord, changes: &mut Vec<Change>) {
+    fn add_wave(&mut self, wave: &WaveRecord, changes: &mut Vec<Change>) {
         if let Entry::Vacant(place) = self.waves.entry(wave.wave) {
             place.insert(wave.clone());
             changes.push(Change::Wave(wave.wave));
         }
     }
 
-    fn maintained(&mut self, wave: WaveId, hosts: &[HostId], changes: &mut Vec<Change>) {
+    fn remove_from_wave(&mut self, wave: WaveId, hosts: &[HostId], changes: &mut Vec<Change>) {
         if let Some(record) = self.waves.get_mut(&wave) {
-            record.left.retain(|host| !hosts.contains(host));
+            record.remaining.retain(|host| !hosts.contains(host));
             changes.push(Change::Wave(wave));
         }
     }
@@ -760,7 +783,7 @@
             let over = self
                 .jobs
                 .get(id)
-                .is_some_and(|job| job.is_over() && job.placements(*id).next().is_none());
+                .is_some_and(|job| job.has_ended() && job.placements(*id).next().is_none());
             if over {
                 self.jobs.remove(id);
             }
@@ -770,7 +793,7 @@
 
 impl Job {
     /// Replaces the evidence against a task, except for that of crashes under the task itself.
-    fn hold(&mut self, id: TaskId, evidence: Evidence, changes: &mut Vec<Change>) {
+    fn set_evidence(&mut self, id: TaskId, evidence: Evidence, changes: &mut Vec<Change>) {
         if let Some(task) = self.task_mut(id) {
             let own = task.evidence.own;
             task.evidence = Evidence { own, ..evidence };
@@ -779,6 +802,6 @@
     }
 }
 
-fn is_at(task: &Task, agent: &MinionId) -> bool {
+fn is_placed_at(task: &Task, agent: &MinionId) -> bool {
     task.agent.as_ref() == Some(agent)
 }
--- a/src/core/workload/odds.rs
+++ b/src/core/workload/odds.rs
@@ -10,57 +10,57 @@
 //! none of it.
 //!
 //! ```
-//! use egretpin::core::workload::odds::Odds;
+//! use egretpin::core::workload::odds::PoisonRate;
 //!
-//! let mut odds = Odds::default();
-//! assert_eq!(odds.together(), None);
+//! let mut rate = PoisonRate::default();
+//! assert_eq!(rate.max_per_host(), None);
 //! for _ in 0..8 {
-//!     odds.note(true);
+//!     rate.record(true);
 //! }
 //! // Each job runs alone.
-//! assert_eq!(odds.together(), Some(1));
+//! assert_eq!(rate.max_per_host(), Some(1));
 //! for _ in 0..100 {
-//!     odds.note(false);
+//!     rate.record(false);
 //! }
-//! assert_eq!(odds.together(), None);
+//! assert_eq!(rate.max_per_host(), None);
 //! ```
 
 use serde::{Deserialize, Serialize};
 
 /// The fraction 1 in fixed-point representation.
-const WHOLE: u32 = 1 << 16;
+const ONE: u32 = 1 << 16;
 /// The span of the moving average in jobs: each job changes it by one part in this many.
-const SHARE: u32 = 16;
+const SMOOTHING_JOBS: u32 = 16;
 /// If fewer than one in this many jobs are poison, jobs share hosts as if there were none.
-const RARE: u32 = 50;
+const NEGLIGIBLE_ONE_IN: u32 = 50;
 
 /// The fraction of poison jobs among the recent jobs of a queue that completed or failed as poison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Odds(u32);
+pub struct PoisonRate(u32);
 
-impl Odds {
-    /// Records a job that failed as poison (`convicted`) or completed.
-    pub fn note(&mut self, convicted: bool) {
-        let next = if convicted { WHOLE } else { 0 };
+impl PoisonRate {
+    /// Records a job that failed as poison (`poison`) or completed.
+    pub fn record(&mut self, poison: bool) {
+        let next = if poison { ONE } else { 0 };
         // Integer arithmetic, since all nodes must reach the same result.
-        self.0 = (self.0 * (SHARE - 1) + next) / SHARE;
+        self.0 = (self.0 * (SMOOTHING_JOBS - 1) + next) / SMOOTHING_JOBS;
     }
 
     /// The fraction, from 0 to 1.
-    pub fn chance(self) -> f64 {
-        f64::from(self.0) / f64::from(WHOLE)
+    pub fn fraction(self) -> f64 {
+        f64::from(self.0) / f64::from(ONE)
     }
 
     /// Whether so few jobs were poison that the next one is presumed harmless.
-    pub fn is_none(self) -> bool {
-        self.0 < WHOLE / RARE
+    pub fn is_negligible(self) -> bool {
+        self.0 < ONE / NEGLIGIBLE_ONE_IN
     }
 
     /// The most jobs without any evidence that may share a host; `None` if that is unbounded. With this number,
     /// telling poison from harmless jobs costs the fewest host crashes per job.
-    pub fn together(self) -> Option<usize> {
-        let most = self.chance().sqrt().recip() as usize;
-        (!self.is_none()).then_some(most.max(1))
+    pub fn max_per_host(self) -> Option<usize> {
+        let most = self.fraction().sqrt().recip() as usize;
+        (!self.is_negligible()).then_some(most.max(1))
     }
 }
--- a/src/core/workload/scheduler/agent.rs
+++ b/src/core/workload/scheduler/agent.rs
@@ -12,7 +12,7 @@
     types::{Attempt, HostId, MinionId, Now, Resources, Wall},
     workload::{
         catalog::JobId,
-        command::{AgentRecord, Placed},
+        command::{AgentRecord, Placement},
         job::TaskId,
         spec::StepSpec,
     },
@@ -311,7 +311,7 @@
 
     /// What is left of its room.
     pub(super) fn free(&self) -> Resources {
-        self.record.room.minus(&self.used)
+        self.record.capacity.minus(&self.used)
     }
 
     pub(super) fn add(&mut self, task: TaskId, slot: Slot) {
@@ -439,17 +439,17 @@
         let plain = spec.data_rack.is_none() && !spec.one_rack;
         Self {
             attempt,
-            room: spec.room(),
+            room: spec.reservation(),
             phase,
             since: now,
             placed: now,
             began: None,
             unanswered: None,
             tries: 0,
-            tail: spec.tail,
+            tail: spec.tail_latency,
             share: FULL,
             best_effort: spec.best_effort,
-            lasting: spec.lasting,
+            lasting: spec.long_running,
             begun: false,
             seen: false,
             doubtful: false,
@@ -499,8 +499,8 @@
     }
 
     /// The attempt, if it is a short task's and nothing has shown that it began.
-    pub(super) fn unbegun(&self, task: TaskId, agent: &MinionId) -> Option<Placed> {
-        (!self.begun && !self.lasting).then(|| Placed {
+    pub(super) fn unbegun(&self, task: TaskId, agent: &MinionId) -> Option<Placement> {
+        (!self.begun && !self.lasting).then(|| Placement {
             task,
             attempt: self.attempt,
             agent: agent.clone(),
--- a/src/core/workload/scheduler/answers.rs
+++ b/src/core/workload/scheduler/answers.rs
@@ -3,8 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
-    ACK_DELAY, About, Answer, End, Ends, GAP, MinionId, Now, OrderId, Pending, Phase, Placed,
-    RENEW_RETRY, RETRY, Refusal, Report, Scheduler, Settings, Slot, TRIES, TaskId, UNWELL, What,
+    ACK_DELAY, About, Answer, EndBatch, GAP, MinionId, Now, OrderId, Pending, Phase, Placement,
+    RENEW_RETRY, RETRY, Refusal, Report, ReportedEnd, Scheduler, Settings, Slot, TRIES, TaskId,
+    UNWELL, What,
 };
 use super::{agent::LAGGING, throttle::UNTOLD};
 use crate::core::workload::command::Ending;
@@ -156,7 +157,7 @@
                 slot.enter(now, Phase::Ended);
                 let attempt = slot.attempt;
                 log::info!(agent:% = id, task:%, attempt, answer:?; "an attempt is given up, as its start was refused");
-                self.freed.push(Placed {
+                self.freed.push(Placement {
                     task,
                     attempt,
                     agent: id.clone(),
@@ -285,7 +286,7 @@
             if settled && !here && !ended.contains(&key) {
                 log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "an attempt is given up, as its agent doesn't list it");
                 slot.enter(now, Phase::Ended);
-                self.freed.push(Placed {
+                self.freed.push(Placement {
                     task: *task,
                     attempt: slot.attempt,
                     agent: id.clone(),
@@ -381,13 +382,13 @@
                 }
                 _ => {}
             }
-            let ends = self.ends.entry(id.clone()).or_insert_with(|| Ends {
+            let ends = self.ends.entry(id.clone()).or_insert_with(|| EndBatch {
                 agent: id.clone(),
                 through: 0,
                 ends: Vec::new(),
             });
             ends.through = ended.number;
-            ends.ends.push(End {
+            ends.ends.push(ReportedEnd {
                 task: ended.task,
                 attempt: ended.attempt,
                 how: ended.how,
--- a/src/core/workload/scheduler/caps.rs
+++ b/src/core/workload/scheduler/caps.rs
@@ -105,7 +105,7 @@
             return 1.0;
         }
         let there = self.spent(ledger, workspace).millicores + self.ready.millicores(workspace);
-        let steps = job.spec.steps.iter().filter(|step| !step.lasting);
+        let steps = job.spec.steps.iter().filter(|step| !step.long_running);
         let wide = steps.map(|step| u64::from(step.tasks) * step.need.millicores);
         let wide = wide.max().unwrap_or_default().max(1);
         (cap.saturating_sub(there) as f64 / wide as f64).min(1.0)
--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{
-    Agent, AgentRecord, Change, Job, Ledger, MinionId, Now, Phase, Placed, Run, STRAY, Scheduler,
-    Settings, Slot, StepSpec, Task, TaskId, Wall,
+    Agent, AgentRecord, Change, Job, Ledger, MinionId, Now, Phase, Placement, Run, STRAY,
+    Scheduler, Settings, Slot, StepSpec, Task, TaskId, Wall,
     hosts::Stage,
     throttle::{INHERITED, UNTOLD},
 };
@@ -40,16 +40,16 @@
             };
             let attempt = placed.attempt;
             let mut slot = Slot::new(spec, attempt, Phase::Unsure, now);
-            slot.began = placed.began;
+            slot.began = placed.started_at;
             // What the earlier leader sent last may still be under way.
             slot.unanswered = Some(now);
             slot.inherited = true;
-            slot.begun = !placed.unbegun;
+            slot.begun = !placed.not_started;
             slot.share = UNTOLD;
             if self.settings.protections.inherit {
                 agent.add(task, slot);
             } else {
-                self.freed.push(Placed {
+                self.freed.push(Placement {
                     task,
                     attempt,
                     agent: id.clone(),
@@ -76,18 +76,24 @@
                     self.take_job(now, wall, *id, job);
                 }
             }
-            Change::Over(id) => self.end_job(now, ledger, *id),
-            Change::Opened(step) => {
+            Change::JobEnded(id) => self.end_job(now, ledger, *id),
+            Change::StepReady(step) => {
                 if let Some(job) = ledger.job(step.job) {
                     self.open(now, *step, job);
                 }
             }
-            Change::Done { task, late } => self.settle(*task, *late),
-            Change::Superfluous(placed) => {
+            Change::Done {
+                task,
+                was_abandoned: late,
+            } => self.settle(*task, *late),
+            Change::Redundant(placed) => {
                 log::info!(task:% = placed.task, attempt = placed.attempt, agent:% = placed.agent; "an attempt isn't needed any more");
                 self.stop(now, &placed.agent, placed.task);
             }
-            Change::Vacated { placed, again } => self.vacated(now, ledger, placed, *again),
+            Change::Unplaced {
+                placed,
+                retry: again,
+            } => self.vacated(now, ledger, placed, *again),
             Change::Suspected(task, evidence) => {
                 if let Some(job) = ledger.job(task.step.job) {
                     self.suspect(job, *task, *evidence);
@@ -98,7 +104,7 @@
                     agent.record.acked = *through;
                 }
             }
-            Change::Declared | Change::Placed(_) | Change::Wave(_) | Change::Convicted(_) => {}
+            Change::Declared | Change::Placed(_) | Change::Wave(_) | Change::PoisonTask(_) => {}
             Change::Agent(id) => self.know(now, ledger, id),
             Change::Renamed { from, to } => {
                 self.agents.remove(from);
@@ -108,7 +114,7 @@
                     self.inherit(now, ledger, record, false);
                 }
             }
-            Change::Gone(id) => {
+            Change::Terminated(id) => {
                 self.losses.commit(id);
                 self.agents.remove(id);
                 self.ends.remove(id);
@@ -330,7 +336,7 @@
     }
 
     /// An attempt doesn't run any more.
-    fn vacated(&mut self, now: Now, ledger: &Ledger, placed: &Placed, again: bool) {
+    fn vacated(&mut self, now: Now, ledger: &Ledger, placed: &Placement, again: bool) {
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
             let same = |slot: &Slot| slot.attempt == placed.attempt;
             if agent.slots.get(&placed.task).is_some_and(same) {
@@ -356,7 +362,7 @@
 
     /// Makes a task ready again.
     fn free(&mut self, now: Now, ledger: &Ledger, task: TaskId) {
-        let Some(job) = ledger.job(task.step.job).filter(|job| !job.is_over()) else {
+        let Some(job) = ledger.job(task.step.job).filter(|job| !job.has_ended()) else {
             return;
         };
         if !self.ready.free(task.step, task.task) {
@@ -365,13 +371,13 @@
     }
 
     /// Sends the starts that were committed, and forgets those that lost a race in the ledger.
-    pub(super) fn check_start(&mut self, now: Now, ledger: &Ledger, start: &Placed) {
+    pub(super) fn check_start(&mut self, now: Now, ledger: &Ledger, start: &Placement) {
         let job = ledger.job(start.task.step.job);
         let task = job.and_then(|job| job.task(start.task));
         let stands = task.is_some_and(|task| {
             task.attempt == start.attempt && task.agent.as_ref() == Some(&start.agent)
         });
-        let over = job.is_none_or(Job::is_over);
+        let over = job.is_none_or(Job::has_ended);
         if let Some(slot) = self.slot(&start.agent, start.task) {
             if stands && !over {
                 slot.enter(now, Phase::Due);
--- a/src/core/workload/scheduler/demand.rs
+++ b/src/core/workload/scheduler/demand.rs
@@ -91,7 +91,7 @@
         let loads = self.loads(ledger);
         let (mut size, mut busy) = (1, 0);
         for agent in self.agents.values() {
-            size = size.max(agent.record.room.millicores);
+            size = size.max(agent.record.capacity.millicores);
             busy += usize::from(!agent.slots.is_empty());
         }
         let size = size as f64;
--- a/src/core/workload/scheduler/eligible.rs
+++ b/src/core/workload/scheduler/eligible.rs
@@ -109,7 +109,7 @@
             return;
         }
         let asked = self.eligible.steps.get(&step).map(|known| &known.asked);
-        let able = self.able(now, pool, spec.room().millicores);
+        let able = self.able(now, pool, spec.reservation().millicores);
         let new = able.filter(|a| asked.is_none_or(|asked| !asked.contains(&a.record.id)));
         let agents = place::best(now, new, spec, step, ASKED);
         if agents.is_empty() {
@@ -121,11 +121,11 @@
         }
         let count = u32::try_from(agents.len()).unwrap_or(u32::MAX);
         let before = u32::try_from(self.eligible.under_way).unwrap_or(u32::MAX);
-        let within = (cost.decision + cost.each * count) * before;
+        let within = (cost.per_query + cost.per_agent * count) * before;
         let about = About::Eligible(Question {
             step,
             agents: agents.clone(),
-            valid: cost.valid,
+            valid: cost.valid_for,
         });
         let what = What::Ask {
             step,
--- a/src/core/workload/scheduler/hosts.rs
+++ b/src/core/workload/scheduler/hosts.rs
@@ -134,7 +134,7 @@
     fn tend_duties(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
         self.welcome(now);
         for wave in ledger.waves() {
-            if !wave.left.is_empty() {
+            if !wave.remaining.is_empty() {
                 self.tend_wave(now, wall, ledger, wave);
             }
         }
@@ -154,7 +154,7 @@
         });
         let busy = doubted
             || !self.hosts.duties.is_empty()
-            || ledger.waves().any(|wave| !wave.left.is_empty());
+            || ledger.waves().any(|wave| !wave.remaining.is_empty());
         let mut duties = self.hosts.duties.values();
         let away = duties.any(|duty| duty.stage == Stage::Away);
         // A host that is back is known a third of a second after its agent instead of up to 0.9 s.
--- a/src/core/workload/scheduler/jobs.rs
+++ b/src/core/workload/scheduler/jobs.rs
@@ -29,7 +29,7 @@
                 return;
             }
             self.timed.pop_first();
-            if let Some(job) = ledger.job(id).filter(|job| !job.is_over()) {
+            if let Some(job) = ledger.job(id).filter(|job| !job.has_ended()) {
                 self.open_run(now, id, occurrence, job);
             }
         }
@@ -42,7 +42,7 @@
                 occurrence,
                 step: StepIx::try_from(step).unwrap_or(StepIx::MAX),
             };
-            if job.is_open(step) {
+            if job.is_ready(step) {
                 self.open(now, step, job);
             }
         }
@@ -88,7 +88,7 @@
         Ready {
             pool,
             workspace,
-            width: cap.map_or(TaskIx::MAX, |cap| cap.width(&spec.need)),
+            width: cap.map_or(TaskIx::MAX, |cap| cap.max_parallel(&spec.need)),
             spec: spec.clone(),
             free,
             deadline: accepted + objective,
@@ -135,7 +135,8 @@
     pub(super) fn objective(&self, job: &Job) -> Duration {
         let chain = self.chain(&self.pool(job), job);
         let queue = self.catalog.queue(&job.queue);
-        let (stretch, target) = queue.map_or((1.0, Duration::ZERO), |q| (q.stretch, q.target));
+        let (stretch, target) =
+            queue.map_or((1.0, Duration::ZERO), |q| (q.stretch, q.objective_offset));
         chain.mul_f64(stretch.max(1.0)) + target
     }
 
@@ -171,17 +172,17 @@
 
     /// About how long the tasks of a step take, in the light of what was seen of the pool's.
     pub(super) fn estimate(&self, pool: &PoolId, spec: &StepSpec) -> Duration {
-        let learned = self.learned.get(pool).filter(|_| !spec.lasting);
+        let learned = self.learned.get(pool).filter(|_| !spec.long_running);
         learned.map_or(spec.estimate, |learned| learned.estimate(spec.estimate))
     }
 
     /// Core-milliseconds of a job's short tasks, in thousandths of a core times milliseconds.
     pub(super) fn work(&self, job: &Job) -> f64 {
         let pool = self.pool(job);
-        let steps = job.spec.steps.iter().filter(|s| !s.lasting);
+        let steps = job.spec.steps.iter().filter(|s| !s.long_running);
         let work = steps.map(|s| {
             let span = self.estimate(&pool, s).as_secs_f64() * 1000.0;
-            f64::from(s.tasks) * s.room().millicores as f64 * span
+            f64::from(s.tasks) * s.reservation().millicores as f64 * span
         });
         work.sum()
     }
--- a/src/core/workload/scheduler/leases.rs
+++ b/src/core/workload/scheduler/leases.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::{
-    About, Agent, EXTEND, MinionId, Now, Phase, Placed, STRAY, Scheduler, Settings, Slot, WAIT,
+    About, Agent, EXTEND, MinionId, Now, Phase, Placement, STRAY, Scheduler, Settings, Slot, WAIT,
     WATCH, What,
 };
 
@@ -86,7 +86,7 @@
                 if lapse.is_some_and(|lapse| now >= lapse) {
                     log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "a task's lease has run out at a silent agent");
                     slot.enter(now, Phase::Ended);
-                    self.freed.push(Placed {
+                    self.freed.push(Placement {
                         task: *task,
                         attempt: slot.attempt,
                         agent: id.clone(),
--- a/src/core/workload/scheduler/losses.rs
+++ b/src/core/workload/scheduler/losses.rs
@@ -29,7 +29,7 @@
     workload::{
         catalog::JobId,
         command::Command,
-        suspicion::{Crash, Present, Seen, decibans},
+        suspicion::{Crash, CrashedTask, FailureRate, decibans},
     },
 };
 
@@ -108,12 +108,12 @@
 
 impl Losses {
     /// The last ends, given what earlier leaders saw of them.
-    pub(super) fn new(now: Now, before: Seen) -> Self {
+    pub(super) fn new(now: Now, before: FailureRate) -> Self {
         Self {
             recent: VecDeque::new(),
-            before: before.ends,
+            before: before.failures,
             began: now,
-            worked: before.worked,
+            worked: before.exposure,
             watched: now,
         }
     }
@@ -209,14 +209,14 @@
     }
 
     /// How often hosts were seen to end by themselves, but for those that a task was at.
-    fn seen(&self, now: Now, suspects: &Suspects, task: Option<TaskId>) -> Seen {
+    fn seen(&self, now: Now, suspects: &Suspects, task: Option<TaskId>) -> FailureRate {
         let lately = self.unexplained().filter(|loss| now < loss.at + WINDOW);
         let others = lately.filter(|loss| !task.is_some_and(|task| loss.has(task)));
         let ends = others.filter(|loss| !loss.is_open(suspects)).count();
         let before = f64::from(self.before) * fading(now.saturating_sub(self.began));
-        Seen {
-            worked: self.worked,
-            ends: u32::try_from(ends).unwrap_or(u32::MAX) + before.round() as u32,
+        FailureRate {
+            exposure: self.worked,
+            failures: u32::try_from(ends).unwrap_or(u32::MAX) + before.round() as u32,
         }
     }
 
@@ -271,7 +271,7 @@
                 crash.ok_or(Cause::Together)
             });
             self.log_loss(now, id, judged.as_ref());
-            judged.map_or(Command::Gone(id.clone()), Command::Crashed)
+            judged.map_or(Command::Terminated(id.clone()), Command::Crashed)
         });
         judged.collect()
     }
@@ -293,12 +293,12 @@
                 continue;
             };
             let (phase, age) = (slot.phase, now.saturating_sub(slot.since));
-            let Present {
+            let CrashedTask {
                 task,
                 weight,
-                sudden,
-                begun,
-                worked,
+                timing_weight: sudden,
+                started: begun,
+                run_time: worked,
             } = present;
             let inherited = slot.inherited;
             log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:?, age:?, inherited, worked:?, begun, weight, sudden; "a task was there when its agent ended");
@@ -357,12 +357,12 @@
         Crash {
             agent: loss.agent.clone(),
             tasks: tasks.collect(),
-            seen: self.losses.seen(now, &self.suspects, None),
+            failure_rate: self.losses.seen(now, &self.suspects, None),
         }
     }
 
     /// What the end of its agent proves against a task.
-    fn weigh(&self, now: Now, wall: Wall, agent: &Agent, task: TaskId, slot: &Slot) -> Present {
+    fn weigh(&self, now: Now, wall: Wall, agent: &Agent, task: TaskId, slot: &Slot) -> CrashedTask {
         // It had ended when it first gave no answer.
         let end = agent.silent.unwrap_or(now);
         let after = now.saturating_sub(end);
@@ -402,12 +402,12 @@
             (true, true) => weight,
             (true, false) => chance(any),
         };
-        Present {
+        CrashedTask {
             task,
             weight,
-            sudden,
-            begun,
-            worked,
+            timing_weight: sudden,
+            started: begun,
+            run_time: worked,
         }
     }
 
@@ -442,7 +442,7 @@
         let others = others.filter(|(task, slot)| Unit::of(**task, slot.lasting) != unit);
         let others = others.filter(|(task, _)| self.suspects.has_ended_more(**task));
         let rates = others.filter_map(|(task, slot)| {
-            let longest = self.suspects.get(*task)?.evidence.longest;
+            let longest = self.suspects.get(*task)?.evidence.longest_run;
             let worked = longest.max(now.saturating_sub(slot.placed));
             Some(1.0 / worked.as_secs_f64().max(f64::EPSILON))
         });
@@ -465,7 +465,7 @@
     /// How often a host ends by itself, in ends a second, by those that a task wasn't at.
     fn end_rate(&self, now: Now, task: Option<TaskId>) -> f64 {
         let seen = self.losses.seen(now, &self.suspects, task);
-        (f64::from(seen.ends) + UNSEEN) / seen.worked.as_secs_f64().max(f64::EPSILON)
+        (f64::from(seen.failures) + UNSEEN) / seen.exposure.as_secs_f64().max(f64::EPSILON)
     }
 
     /// How often an agent's host has ended lately for a reason that isn't known. An agent whose host
--- a/src/core/workload/scheduler/mod.rs
+++ b/src/core/workload/scheduler/mod.rs
@@ -100,7 +100,7 @@
 };
 use super::{
     catalog::{Catalog, JobId},
-    command::{AgentRecord, Command, End, Ends, Placed, Round},
+    command::{AgentRecord, Command, EndBatch, Placement, ReportedEnd, Round},
     job::{Job, JobState, Run, StepId, Task, TaskId},
     ledger::{Change, Ledger},
     spec::{Occurrence, StepIx, StepSpec, TaskIx},
@@ -256,11 +256,11 @@
     pending: Map<OrderId, Pending>,
     last_order: OrderId,
     /// Ends that agents reported and that aren't proposed yet.
-    ends: BTreeMap<MinionId, Ends>,
+    ends: BTreeMap<MinionId, EndBatch>,
     /// Attempts that surely don't run.
-    freed: Vec<Placed>,
+    freed: Vec<Placement>,
     /// Attempts that may never have begun, which a successor has to know.
-    unbegun: Vec<Placed>,
+    unbegun: Vec<Placement>,
     /// Incarnations that are over.
     gone: BTreeSet<MinionId>,
     /// Those in whose place a later one lives, until they are over.
@@ -351,13 +351,13 @@
             rounds: 0,
             proposed: Proposed::default(),
             hosts: Hosts::default(),
-            touching: Touching::new(now, settings.holder, ledger.touched()),
+            touching: Touching::new(now, settings.holder, ledger.intents()),
             eligible: Eligible::default(),
             learned: BTreeMap::new(),
             pressure: Pressure::default(),
             suspects: Suspects::default(),
             probes: Probes::default(),
-            losses: Losses::new(now, ledger.seen()),
+            losses: Losses::new(now, ledger.failure_rate()),
             departures: Departures::default(),
             maintained: Vec::new(),
             orders: Vec::new(),
@@ -374,16 +374,16 @@
             scheduler.inherit(now, ledger, record, shared);
         }
         for (id, job) in ledger.jobs() {
-            if job.is_over() {
+            if job.has_ended() {
                 // An earlier leader may not have come to stop what it left, and how long ago the
                 // job ended isn't known: wall clocks jump.
                 scheduler.end_job(now, ledger, id);
                 continue;
             }
-            let age = wall.saturating_sub(job.accepted);
+            let age = wall.saturating_sub(job.accepted_at);
             scheduler.accepted.insert(id, now.saturating_sub(age));
             scheduler.take_job(now, wall, id, job);
-            for (task, evidence) in job.evidence(id) {
+            for (task, evidence) in job.task_evidence(id) {
                 scheduler.suspect(job, task, evidence);
             }
         }
@@ -432,7 +432,7 @@
         let news = match ledger.agent(&record.id) {
             Some(known) if older => record.leaving && !known.leaving,
             Some(known) => known.differs(record),
-            None => !older && !ledger.is_over(record),
+            None => !older && !ledger.is_stale(record),
         };
         news.then(|| Command::Agent(Box::new(record.clone())))
     }
--- a/src/core/workload/scheduler/place.rs
+++ b/src/core/workload/scheduler/place.rs
@@ -44,13 +44,13 @@
 /// Whether an agent could run a task of a step once what is short there has ended.
 pub(super) fn could_run(agent: &Agent, spec: &StepSpec, step: StepId) -> bool {
     let lasting = agent.slots.values().filter(|slot| slot.lasting);
-    let room = lasting.fold(agent.record.room, |room, slot| room.minus(&slot.room));
-    suits(agent, spec, step) && room.fits(&spec.room())
+    let room = lasting.fold(agent.record.capacity, |room, slot| room.minus(&slot.room));
+    suits(agent, spec, step) && room.fits(&spec.reservation())
 }
 
 /// Whether an agent may run a task of a step now.
 pub(super) fn may_run(agent: &Agent, spec: &StepSpec, step: StepId) -> bool {
-    suits(agent, spec, step) && agent.free().fits(&spec.room())
+    suits(agent, spec, step) && agent.free().fits(&spec.reservation())
 }
 
 fn suits(agent: &Agent, spec: &StepSpec, step: StepId) -> bool {
@@ -70,19 +70,19 @@
         .data_rack
         .as_ref()
         .is_none_or(|rack| agent.record.rack() == Some(rack));
-    let later = if spec.lasting {
+    let later = if spec.long_running {
         Duration::ZERO
     } else {
         agent.extension(now, spec.estimate)
     };
     let disturbs = spec.best_effort && agent.serves();
-    let disturbed = spec.tail.is_some() && agent.has_best_effort();
+    let disturbed = spec.tail_latency.is_some() && agent.has_best_effort();
     Fit {
         sound: !agent.is_slow(now),
         safe: !agent.slots.values().any(|slot| slot.doubtful),
         near,
         apart: !disturbs && !disturbed,
-        alike: spec.lasting && agent.slots.values().any(|slot| slot.lasting),
+        alike: spec.long_running && agent.slots.values().any(|slot| slot.lasting),
         later: Reverse(later.as_millis() / GRAIN.as_millis()),
         busy: agent.used.millicores,
     }
@@ -172,7 +172,7 @@
 ) -> Option<Vec<MinionId>> {
     let mut seats = Vec::new();
     for agent in agents.values().filter(|agent| allowed(agent)) {
-        let (mut free, room) = (agent.free(), spec.room());
+        let (mut free, room) = (agent.free(), spec.reservation());
         let labelled = spec
             .label
             .as_ref()
--- a/src/core/workload/scheduler/probes.rs
+++ b/src/core/workload/scheduler/probes.rs
@@ -18,7 +18,7 @@
 };
 
 use super::{
-    Agent, Ledger, MinionId, Now, Placed, PoolId, STARTS, Scheduler, Slot, StepId, StepSpec,
+    Agent, Ledger, MinionId, Now, Placement, PoolId, STARTS, Scheduler, Slot, StepId, StepSpec,
     TaskId, agent::LATELY, place, starts::attempts, suspects::Held, unit::Unit,
 };
 use crate::core::workload::suspicion::Evidence;
@@ -84,7 +84,7 @@
         now: Now,
         ledger: &Ledger,
         pool: &PoolId,
-        starts: &mut Vec<Placed>,
+        starts: &mut Vec<Placement>,
     ) {
         let suspects = self.suspects.suspected();
         let steps: BTreeSet<_> = suspects.map(|(task, _)| task.step).collect();
@@ -106,7 +106,7 @@
         ledger: &Ledger,
         step: StepId,
         spec: &StepSpec,
-        starts: &mut Vec<Placed>,
+        starts: &mut Vec<Placement>,
     ) {
         let Some(ready) = self.ready.get(step) else {
             return;
@@ -128,7 +128,7 @@
             if !self.may_start(ledger, step, spec, 1) {
                 return;
             }
-            let unit = self.suspects.unit(task, spec.lasting);
+            let unit = self.suspects.unit(task, spec.long_running);
             let agent = match unit {
                 Some(unit @ Unit::Job(_)) if self.suspects.is_suspect(task, held) => {
                     self.probe_for(now, &sought, unit, task)
@@ -141,7 +141,7 @@
                 return;
             };
             let attempt = attempts(ledger, task) + 1;
-            let placed = Placed {
+            let placed = Placement {
                 task,
                 attempt,
                 agent,
@@ -154,7 +154,7 @@
     /// does little harm.
     fn apart(&self, now: Now, sought: &Sought<'_>, task: TaskId) -> Option<MinionId> {
         let Sought { pool, step, spec } = *sought;
-        let able = self.able(now, pool, spec.room().millicores);
+        let able = self.able(now, pool, spec.reservation().millicores);
         let able = able.filter(|agent| {
             self.is_eligible(now, step, agent) && place::may_run(agent, spec, step)
         });
@@ -212,7 +212,7 @@
         let next = now + LOOK;
         self.probes.waiting.insert(unit, Waiting { since, next });
         let held = self.suspects.get(task);
-        let last = held.is_some_and(|held| held.evidence.own.is_last());
+        let last = held.is_some_and(|held| held.evidence.own.must_isolate());
         let share = now >= since + PATIENCE && !last && self.is_hopeless(now, sought, unit);
         let beside = share.then(|| self.apart(now, sought, task)).flatten();
         if let Some(agent) = &beside {
--- a/src/core/workload/scheduler/ready.rs
+++ b/src/core/workload/scheduler/ready.rs
@@ -64,7 +64,7 @@
 
 impl Ready {
     fn rank(&self, now: Now, step: StepId) -> Rank {
-        let class = if self.spec.lasting {
+        let class = if self.spec.long_running {
             Class::Lasting
         } else if self.lapse().is_some_and(|lapse| now <= lapse) {
             Class::InTime
@@ -87,7 +87,7 @@
     /// Thousandths of a core that its free tasks wait for.
     fn millicores(&self) -> u64 {
         let count = u64::try_from(self.free.len()).unwrap_or(u64::MAX);
-        self.spec.room().millicores.saturating_mul(count)
+        self.spec.reservation().millicores.saturating_mul(count)
     }
 }
 
@@ -144,14 +144,14 @@
 impl Waiting {
     fn add(&mut self, ready: &Ready) {
         self.all += ready.millicores();
-        if !ready.spec.lasting {
+        if !ready.spec.long_running {
             self.short += ready.millicores();
         }
     }
 
     fn take(&mut self, ready: &Ready) {
         self.all -= ready.millicores();
-        if !ready.spec.lasting {
+        if !ready.spec.long_running {
             self.short -= ready.millicores();
         }
     }
@@ -310,7 +310,10 @@
         }
         let line = self.pools.entry(ready.pool.clone()).or_default();
         line.ranks.insert(rank);
-        *line.rooms.entry(ready.spec.room().millicores).or_default() += 1;
+        *line
+            .rooms
+            .entry(ready.spec.reservation().millicores)
+            .or_default() += 1;
         line.waiting.add(ready);
         if let Some(workspace) = &ready.workspace {
             line.held.entry(workspace.clone()).or_default().add(ready);
@@ -326,7 +329,7 @@
         if !line.ranks.remove(&rank) {
             return;
         }
-        less(&mut line.rooms, ready.spec.room().millicores);
+        less(&mut line.rooms, ready.spec.reservation().millicores);
         line.waiting.take(ready);
         let Some(workspace) = &ready.workspace else {
             return;
@@ -358,7 +361,7 @@
 fn spread(ready: &Ready) -> usize {
     let spec = &ready.spec;
     // What is short can run one after the other.
-    let apart = spec.per_host.filter(|_| spec.lasting);
+    let apart = spec.per_host.filter(|_| spec.long_running);
     let tasks = spec.tasks.min(ready.width);
     let apart = apart.map_or(1, |most| tasks.div_ceil(most.max(1)));
     usize::try_from(apart)
--- a/src/core/workload/scheduler/starts.rs
+++ b/src/core/workload/scheduler/starts.rs
@@ -6,8 +6,8 @@
 };
 
 use super::{
-    ATTEMPTS, About, Agent, Ends, GAP, Ledger, MinionId, Name, Now, Phase, Placed, PoolId, Round,
-    STARTS, Scheduler, Slot, StartOrder, StepId, StepSpec, TaskId, Wall, What,
+    ATTEMPTS, About, Agent, EndBatch, GAP, Ledger, MinionId, Name, Now, Phase, Placement, PoolId,
+    Round, STARTS, Scheduler, Slot, StartOrder, StepId, StepSpec, TaskId, Wall, What,
     place::{self, Choice},
 };
 use crate::core::{
@@ -30,10 +30,10 @@
             freed: std::mem::take(&mut self.freed),
             failed,
             starts: Vec::new(),
-            touch: self.touch(now),
-            convicted: self.suspects.take_convicted(),
+            intent: self.touch(now),
+            poison_tasks: self.suspects.take_convicted(),
             cleared,
-            unbegun: std::mem::take(&mut self.unbegun),
+            not_started: std::mem::take(&mut self.unbegun),
             at: wall,
         };
         self.ready.lapse(now);
@@ -45,7 +45,7 @@
     }
 
     /// Jobs that these ends make fail for good.
-    pub(super) fn failed(&self, ledger: &Ledger, ends: &[Ends]) -> Vec<JobId> {
+    pub(super) fn failed(&self, ledger: &Ledger, ends: &[EndBatch]) -> Vec<JobId> {
         let mut counts: BTreeMap<TaskId, u32> = BTreeMap::new();
         let all = ends.iter().flat_map(|ends| &ends.ends);
         for end in all.filter(|end| end.how == Ending::Failed) {
@@ -61,8 +61,8 @@
                 job.task(*task)?.failures
             };
             let queue = self.catalog.queue(&job.queue);
-            let most = queue.map_or(ATTEMPTS, |queue| queue.attempts.max(1));
-            (!spec.lasting && before + count >= most).then_some(task.step.job)
+            let most = queue.map_or(ATTEMPTS, |queue| queue.max_attempts.max(1));
+            (!spec.long_running && before + count >= most).then_some(task.step.job)
         };
         let failed: BTreeSet<_> = counts.iter().filter_map(hopeless).collect();
         failed.into_iter().collect()
@@ -74,7 +74,7 @@
         now: Now,
         ledger: &Ledger,
         pool: &PoolId,
-        starts: &mut Vec<Placed>,
+        starts: &mut Vec<Placement>,
     ) {
         self.start_on_probes(now, ledger, pool, starts);
         // Under overload hundreds of steps wait and no agent has room; looking at each agent for each
@@ -94,7 +94,7 @@
             let Some(ready) = self.ready.get(rank.step()) else {
                 continue;
             };
-            if widest.is_some_and(|widest| !widest.fits(&ready.spec.room())) {
+            if widest.is_some_and(|widest| !widest.fits(&ready.spec.reservation())) {
                 continue;
             }
             let job = rank.step().job;
@@ -119,7 +119,7 @@
             // What hosts have ended under was started above, or waits.
             let tasks = tasks.filter(|task| {
                 self.suspects.get(*task).is_none()
-                    && self.suspects.unit(*task, spec.lasting).is_none()
+                    && self.suspects.unit(*task, spec.long_running).is_none()
             });
             let tasks: Vec<_> = tasks.collect();
             if tasks.is_empty() || !self.may_start(ledger, step, &spec, 1) {
@@ -130,10 +130,10 @@
             if found.is_some_and(|job| job.state == JobState::Queued && apart.is_full(job)) {
                 continue;
             }
-            let able = self.able(now, pool, spec.room().millicores);
+            let able = self.able(now, pool, spec.reservation().millicores);
             let able = able.filter(|agent| !asked || self.is_eligible(now, step, agent));
-            let able =
-                able.filter(|agent| spec.lasting || self.may_share(ledger, &apart, agent, job));
+            let able = able
+                .filter(|agent| spec.long_running || self.may_share(ledger, &apart, agent, job));
             let mut choice = Choice::new(now, able, &spec, step);
             for task in tasks {
                 if !self.may_start(ledger, step, &spec, 1) {
@@ -146,7 +146,7 @@
                     }
                     break;
                 };
-                let placed = Placed {
+                let placed = Placement {
                     task,
                     attempt: attempts(ledger, task) + 1,
                     agent: agent.clone(),
@@ -166,7 +166,7 @@
         ledger: &Ledger,
         step: StepId,
         spec: &StepSpec,
-        starts: &mut Vec<Placed>,
+        starts: &mut Vec<Placement>,
     ) {
         let Some(ready) = self.ready.get(step) else {
             return;
@@ -179,8 +179,8 @@
             return;
         }
         let first = TaskId { step, task: 0 };
-        let unit = self.suspects.unit(first, spec.lasting);
-        let able = self.able(now, &ready.pool, spec.room().millicores);
+        let unit = self.suspects.unit(first, spec.long_running);
+        let able = self.able(now, &ready.pool, spec.reservation().millicores);
         let able = able.filter(|agent| self.is_eligible(now, step, agent));
         // The members of a gang run together, so one that is suspected has its hosts to itself.
         let able = able.filter(|agent| unit.is_none() || agent.slots.is_empty());
@@ -195,7 +195,7 @@
             if let Some(unit) = unit {
                 self.probes.insert(agent.clone(), unit);
             }
-            let placed = Placed {
+            let placed = Placement {
                 task,
                 attempt,
                 agent,
@@ -209,8 +209,8 @@
         now: Now,
         ledger: &Ledger,
         spec: &StepSpec,
-        placed: Placed,
-        starts: &mut Vec<Placed>,
+        placed: Placement,
+        starts: &mut Vec<Placement>,
     ) {
         let task = placed.task;
         self.claim(ledger, task, spec);
@@ -359,7 +359,7 @@
             return;
         }
         slot.enter(now, Phase::Ended);
-        self.freed.push(Placed {
+        self.freed.push(Placement {
             task,
             attempt,
             agent: id.clone(),
--- a/src/core/workload/scheduler/storm.rs
+++ b/src/core/workload/scheduler/storm.rs
@@ -2,7 +2,7 @@
 //!
 //! Where a good part of a queue's new jobs is such, packing them costs a host for each crowd, and proves
 //! nothing against any of them. So jobs that nothing is known of share hosts as the queue's
-//! [`Odds`](crate::core::workload::odds::Odds) say, from alone to all together.
+//! [`PoisonRate`](crate::core::workload::odds::PoisonRate) say, from alone to all together.
 //!
 //! A pool tries only so many jobs a second then. What comes beyond that isn't accepted to wait: it is
 //! refused at once, and its caller told when what waits before it will be through. How long that is follows from
@@ -75,7 +75,7 @@
 impl Scheduler {
     /// What has to be kept apart in a pool now.
     pub(super) fn apart_in(&self, ledger: &Ledger, pool: &PoolId) -> Apart {
-        if !ledger.has_odds() {
+        if !ledger.has_poison_queue() {
             return Apart::default();
         }
         let queues = self
@@ -84,7 +84,7 @@
             .iter()
             .filter(|queue| queue.pool == *pool);
         let most = queues.filter_map(|queue| {
-            let most = ledger.odds(&queue.name).together()?;
+            let most = ledger.poison_rate(&queue.name).max_per_host()?;
             Some((queue.name.clone(), most))
         });
         Apart {
@@ -125,15 +125,15 @@
             queue,
             pool,
             spec,
-            accepted,
+            accepted_at: accepted,
             ..
         } = submission;
-        if ledger.odds(queue).is_none() {
+        if ledger.poison_rate(queue).is_negligible() {
             return None;
         }
         let live = self.accepted.keys().filter_map(|id| ledger.job(*id));
-        let live = live.filter(|other| other.queue == *queue && !other.is_over());
-        let live = live.filter(|other| other.spec.steps.iter().all(|step| !step.lasting));
+        let live = live.filter(|other| other.queue == *queue && !other.has_ended());
+        let live = live.filter(|other| other.spec.steps.iter().all(|step| !step.long_running));
         let before = u32::try_from(live.count() + more).unwrap_or(u32::MAX);
         let over = self.departures.count(now, queue).max(1);
         let wait = WINDOW * before / u32::try_from(over).unwrap_or(u32::MAX);
--- a/src/core/workload/scheduler/suspects.rs
+++ b/src/core/workload/scheduler/suspects.rs
@@ -69,7 +69,7 @@
     pub(super) fn is_suspect(&self, task: TaskId, held: Held) -> bool {
         let unit = Unit::of(task, held.lasting);
         let explained = self.explained.get(&unit).copied().unwrap_or_default();
-        held.evidence.is_suspect_without(explained)
+        held.evidence.is_suspect_excluding(explained)
     }
 
     /// Whether hosts have ended under any task of a job.
@@ -146,7 +146,7 @@
 
     /// The log holds this against a task of a job.
     pub(super) fn suspect(&mut self, job: &Job, task: TaskId, evidence: Evidence) {
-        let lasting = !job.is_short(task);
+        let lasting = !job.is_batch(task);
         let Evidence {
             hosts, weight, own, ..
         } = evidence;
@@ -171,7 +171,7 @@
     pub(super) fn clear_suspects(&mut self, now: Now, ledger: &Ledger) -> Vec<TaskId> {
         let lasting = self.suspects.all().filter(|(_, held)| held.lasting);
         let cleared = lasting.filter(|(task, held)| {
-            let probation = (held.evidence.longest * PROBATION).min(LONGEST);
+            let probation = (held.evidence.longest_run * PROBATION).min(LONGEST);
             let slot = self.placed_slot(ledger, *task);
             slot.is_some_and(|slot| slot.phase == Phase::Running && now >= slot.since + probation)
         });
--- a/src/core/workload/scheduler/touching.rs
+++ b/src/core/workload/scheduler/touching.rs
@@ -15,7 +15,7 @@
 use super::{Now, Round, Scheduler, hosts::Stage};
 use crate::core::{
     types::HostId,
-    workload::touched::{Touch, Touched},
+    workload::touched::{OrderIntent, OrderIntents},
 };
 
 /// How long an order may still be under way to the provider after the log said that it would go out:
@@ -43,14 +43,18 @@
 impl Touching {
     /// What a leader that begins now may order, given what its predecessors touched and how long
     /// the orders of two leaders about one host must be apart.
-    pub(super) fn new(now: Now, apart: Duration, touched: &Touched) -> Self {
+    pub(super) fn new(now: Now, apart: Duration, touched: &OrderIntents) -> Self {
         let held = touched.ages().filter_map(|(host, age)| {
             // Its predecessor gave its last order before now, whenever it touched the host.
             let wait = (apart + UNDER_WAY).saturating_sub(age).min(apart);
             (!wait.is_zero()).then(|| (host.clone(), now + wait))
         });
         let held: BTreeMap<_, _> = held.collect();
-        let blind = if touched.is_kept() { now } else { now + apart };
+        let blind = if touched.is_recorded() {
+            now
+        } else {
+            now + apart
+        };
         Self {
             blind,
             held,
@@ -78,7 +82,7 @@
 
 impl Scheduler {
     /// What a round tells the log of hosts: those whose orders are due, and that time passes.
-    pub(super) fn touch(&mut self, now: Now) -> Option<Touch> {
+    pub(super) fn touch(&mut self, now: Now) -> Option<OrderIntent> {
         let mut hosts = Vec::new();
         for (host, duty) in &mut self.hosts.duties {
             let agent = duty.agent.as_ref().and_then(|id| self.agents.get(id));
@@ -109,7 +113,7 @@
         }
         *stamped = Some(now);
         let at = now.saturating_sub(self.began).as_millis();
-        Some(Touch {
+        Some(OrderIntent {
             term: self.term,
             at: u64::try_from(at).unwrap_or(u64::MAX),
             hosts,
@@ -118,7 +122,7 @@
 
     /// A round of this leader was applied, so what it said may be ordered.
     pub(super) fn touch_applied(&mut self, now: Now, round: &Round) {
-        let Some(touch) = &round.touch else {
+        let Some(touch) = &round.intent else {
             return;
         };
         for host in &touch.hosts {
--- a/src/core/workload/scheduler/waves.rs
+++ b/src/core/workload/scheduler/waves.rs
@@ -50,15 +50,15 @@
 impl Scheduler {
     /// Has hosts of a wave emptied and maintained.
     pub(super) fn tend_wave(&mut self, now: Now, wall: Wall, ledger: &Ledger, wave: &WaveRecord) {
-        let cap = usize::try_from(wave.cap).unwrap_or(usize::MAX);
+        let cap = usize::try_from(wave.max_concurrent).unwrap_or(usize::MAX);
         self.let_go(now, wave);
         // The clock of the day may jump, so it is looked at once.
-        let due = now + wave.until.saturating_sub(wall);
+        let due = now + wave.deadline.saturating_sub(wall);
         let time = self.hosts.waves.entry(wave.wave);
         let time = *time.or_insert(WaveTime { since: now, due });
         let left = time.due.saturating_sub(now);
         self.empty_more(now, wave, cap, time.since, left);
-        let turns = wave.left.len().div_ceil(cap.max(1));
+        let turns = wave.remaining.len().div_ceil(cap.max(1));
         let needed = TURN * u32::try_from(turns).unwrap_or(u32::MAX);
         let late = needed >= left;
         let away = self.away(now, wave);
@@ -76,7 +76,11 @@
             refused,
             ..
         } = &mut self.hosts;
-        for host in wave.left.iter().filter(|host| !views.contains_key(*host)) {
+        for host in wave
+            .remaining
+            .iter()
+            .filter(|host| !views.contains_key(*host))
+        {
             let Some(at) = refused.get_mut(host) else {
                 continue;
             };
@@ -95,9 +99,9 @@
         let mine = |duty: &&Duty| duty.what == Purpose::Maintain(wave.wave);
         let mut under = self.hosts.duties.values().filter(mine).count();
         let most = cap.saturating_mul(2);
-        let needed = pace(wave.left.len(), left);
+        let needed = pace(wave.remaining.len(), left);
         let mut candidates: Vec<_> = wave
-            .left
+            .remaining
             .iter()
             .filter(|host| !self.hosts.duties.contains_key(*host))
             .filter(|host| !self.is_refused(now, host))
@@ -170,7 +174,7 @@
             duty.what == Purpose::Maintain(wave.wave) && duty.stage != Stage::Emptying
         });
         // An earlier leader may have ordered others, a moment ago or before.
-        let held = wave.left.iter();
+        let held = wave.remaining.iter();
         let held = held.filter(|host| self.touching.is_held(now, host));
         let views = self.hosts.views.iter();
         let down = views.filter(|(_, view)| view.state == HostState::Maintained);
@@ -257,7 +261,7 @@
             !slot.is_some_and(|slot| slot.phase == Phase::Running && slot.at_work)
         });
         // A step without a budget is treated like one with the smallest.
-        away.count() < usize::try_from(spec.budget.max(1)).unwrap_or(usize::MAX)
+        away.count() < usize::try_from(spec.disruption_budget.max(1)).unwrap_or(usize::MAX)
     }
 
     /// Stops what lasts on cordoned agents, as far as its budgets allow.
--- a/src/core/workload/spec.rs
+++ b/src/core/workload/spec.rs
@@ -13,7 +13,7 @@
 //! reduce.after = vec![0];
 //! let job = JobSpec::new("count", vec![StepSpec::new(8, Duration::from_secs(1)), reduce]);
 //! assert!(job.check().is_ok());
-//! assert_eq!(job.chain(), Duration::from_secs(3));
+//! assert_eq!(job.critical_path(), Duration::from_secs(3));
 //! ```
 
 use std::time::Duration;
@@ -31,12 +31,12 @@
 pub type Occurrence = u32;
 
 /// The longest payload of a job, in bytes.
-pub const LONGEST_PAYLOAD: usize = 4000;
+pub const MAX_PAYLOAD_BYTES: usize = 4000;
 /// The most steps that a job may have; far above what the graphs in use have.
-pub const MOST_STEPS: usize = 1000;
+pub const MAX_STEPS: usize = 1000;
 /// The most tasks that a job may have, over all its steps. If all of them run at once, they take a tenth of
 /// a leader's memory.
-pub const MOST_TASKS: u32 = 100_000;
+pub const MAX_TASKS: u32 = 100_000;
 
 /// A job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -90,17 +90,20 @@
     pub speculative: bool,
     /// Whether the tasks are long-running: they run until the job is cancelled. All others are batch tasks,
     /// which finish.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// The image that the tasks run; tasks of the same image behave alike.
     pub image: Option<Name>,
     /// For tasks that serve requests: the tail latency that each must stay below.
-    pub tail: Option<Duration>,
+    #[serde(rename = "tail")]
+    pub tail_latency: Option<Duration>,
     /// Whether the tasks are best-effort: they use the resources that other tasks leave idle, and they slow
     /// down tasks that serve requests on the same host.
     pub best_effort: bool,
     /// The disruption budget of a long-running step: how many of its tasks the scheduler may take down at
     /// once by its own decisions.
-    pub budget: u32,
+    #[serde(rename = "budget")]
+    pub disruption_budget: u32,
 }
 
 /// Why the specification of a job was rejected.
@@ -109,13 +112,13 @@
 #[snafu(visibility(pub(crate)))]
 pub enum SpecError {
     /// The payload is too long.
-    #[snafu(display("the payload has {length} bytes; at most {LONGEST_PAYLOAD} are allowed"))]
+    #[snafu(display("the payload has {length} bytes; at most {MAX_PAYLOAD_BYTES} are allowed"))]
     Payload {
         /// The length of the payload in bytes.
         length: usize,
     },
     /// The job has no steps, or too many.
-    #[snafu(display("the job has {count} steps; 1 to {MOST_STEPS} are allowed"))]
+    #[snafu(display("the job has {count} steps; 1 to {MAX_STEPS} are allowed"))]
     Steps {
         /// The number of steps.
         count: usize,
@@ -127,7 +130,7 @@
         step: usize,
     },
     /// The job has too many tasks.
-    #[snafu(display("the job has more than {MOST_TASKS} tasks; split it into several jobs"))]
+    #[snafu(display("the job has more than {MAX_TASKS} tasks; split it into several jobs"))]
     Tasks,
     /// A step depends on itself or on a later one.
     #[snafu(display("step {step} depends on step {on}; a step may depend only on earlier steps"))]
@@ -156,9 +159,9 @@
     /// The error names the step that is wrong, and says what is allowed.
     pub fn check(&self) -> Result<(), SpecError> {
         let length = self.payload.len();
-        ensure!(length <= LONGEST_PAYLOAD, PayloadSnafu { length });
+        ensure!(length <= MAX_PAYLOAD_BYTES, PayloadSnafu { length });
         let count = self.steps.len();
-        ensure!((1..=MOST_STEPS).contains(&count), StepsSnafu { count });
+        ensure!((1..=MAX_STEPS).contains(&count), StepsSnafu { count });
         let mut tasks: u32 = 0;
         for (step, spec) in self.steps.iter().enumerate() {
             ensure!(spec.tasks > 0, NoTasksSnafu { step });
@@ -167,12 +170,12 @@
                 ensure!(usize::from(on) < step, OrderSnafu { step, on });
             }
         }
-        ensure!(tasks <= MOST_TASKS, TasksSnafu);
+        ensure!(tasks <= MAX_TASKS, TasksSnafu);
         Ok(())
     }
 
     /// The estimated duration of the critical path, the chain of dependent steps that takes longest.
-    pub fn chain(&self) -> Duration {
+    pub fn critical_path(&self) -> Duration {
         let all = self.remaining(|step| step.estimate);
         all.into_iter().max().unwrap_or_default()
     }
@@ -203,8 +206,8 @@
     }
 
     /// Whether any of its steps is long-running.
-    pub fn is_lasting(&self) -> bool {
-        self.steps.iter().any(|s| s.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|s| s.long_running)
     }
 }
 
@@ -223,16 +226,16 @@
             data_rack: None,
             per_host: None,
             speculative: false,
-            lasting: false,
+            long_running: false,
             image: None,
-            tail: None,
+            tail_latency: None,
             best_effort: false,
-            budget: 0,
+            disruption_budget: 0,
         }
     }
 
     /// The resources that are reserved for a task on its host. The cores of best-effort tasks don't count.
-    pub fn room(&self) -> Resources {
+    pub fn reservation(&self) -> Resources {
         let mut room = self.need;
         if self.best_effort {
             room.millicores = 0;
--- a/src/core/workload/suspicion.rs
+++ b/src/core/workload/suspicion.rs
@@ -21,7 +21,7 @@
 //! The batch tasks of a job are alike, and the job fails as a whole, so they share the evidence from trials.
 //! Each long-running task has its own evidence.
 //!
-//! The job of a batch task under which [`Own::MOST`] hosts have crashed fails, whatever the crashes prove.
+//! The job of a batch task under which [`OwnEvidence::MAX_HOSTS`] hosts have crashed fails, whatever the crashes prove.
 //!
 //! The evidence is in the ledger, so that none is lost if the leader changes in the middle. This module only
 //! adds it up and judges it. The leader's scheduler decides what counts as another cause, how often hosts
@@ -32,16 +32,16 @@
 //!
 //! use egretpin::core::workload::suspicion::{Evidence, decibans};
 //!
-//! let worked = Duration::from_secs(1);
+//! let run_time = Duration::from_secs(1);
 //! let mut evidence = Evidence::default();
 //! // Two hosts crashed under the task while other tasks ran there, too.
 //! for _ in 0..2 {
-//!     evidence.note(0, worked);
-//!     evidence.own.note(decibans(0.5), true);
+//!     evidence.record(0, run_time);
+//!     evidence.own.record(decibans(0.5), true);
 //! }
 //! assert!(evidence.is_suspect() && !evidence.is_conclusive(false));
 //! // A third host crashed that ran nothing else. The chance that it crashed by itself is one in a thousand.
-//! evidence.note(decibans(0.001), worked);
+//! evidence.record(decibans(0.001), run_time);
 //! assert!(evidence.is_conclusive(false));
 //! ```
 
@@ -53,24 +53,24 @@
 use crate::core::types::MinionId;
 
 /// The number of crashes under a task itself that make it a suspect.
-const SUSPECT: u32 = 2;
+const MIN_SUSPECT_HOSTS: u32 = 2;
 /// The number of crashes under the batch tasks of its job that make a task a suspect, and without which trials
 /// can't prove it to be poison.
-const CONVICT: u32 = 3;
+const MIN_POISON_HOSTS: u32 = 3;
 /// The conclusive weight in decibans. The first is for a batch task in trials: such crashes have a chance of
 /// one in five hundred if the task is harmless. The second is for a long-running task, or for a batch task
 /// without trials: one in five thousand, since hosts crash some time under most long-running tasks, and many
 /// tasks run where hosts crash.
-const CONCLUSIVE: (u32, u32) = (27, 37);
+const CONCLUSIVE_DECIBANS: (u32, u32) = (27, 37);
 /// The most that repeated crashes under the task itself add to the weight of trials, in decibans, whatever
 /// else ran on those hosts. They add to it because so few tasks were present at both crashes.
-const TWICE: u32 = 10;
+const MAX_REPEAT_DECIBANS: u32 = 10;
 
 /// The number of crashes with the task as the only possible cause that count in full.
-const FULL: u32 = 2;
+const FULL_WEIGHT_HOSTS: u32 = 2;
 /// The decibans by which each further such crash counts less. Crashes of hosts that crash by themselves weigh
 /// half of that on average, so that any number of them adds up to nothing.
-const FURTHER: u32 = 8;
+const DISCOUNT_DECIBANS: u32 = 8;
 
 /// The weight of an event as evidence, in decibans, if its probability is `chance` when the suspect isn't its
 /// cause.
@@ -91,111 +91,121 @@
     pub weight: u32,
     /// Whether only the task, or others of its job, can have caused the last crash. Absent in snapshots of
     /// earlier releases.
-    #[serde(default)]
-    pub alone: bool,
+    #[serde(rename = "alone", default)]
+    pub isolated: bool,
     /// The number of crashes after the first that only the task, or others of its job, can have caused. Absent
     /// in snapshots of earlier releases.
-    #[serde(default)]
-    pub tried: u32,
+    #[serde(rename = "tried", default)]
+    pub trials: u32,
     /// The longest run time of the task at any of the crashes. Absent in snapshots of earlier releases.
-    #[serde(default)]
-    pub longest: Duration,
+    #[serde(rename = "longest", default)]
+    pub longest_run: Duration,
     /// The crashes under the task itself, without those under other tasks of its job. Absent in snapshots of
     /// earlier releases.
     #[serde(default)]
-    pub own: Own,
+    pub own: OwnEvidence,
 }
 
 /// The crashes of hosts under a task itself, without those under other tasks of its job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Own {
+pub struct OwnEvidence {
     /// The number of crashes.
     pub hosts: u32,
     /// The number of crashes on hosts where the task is known to have started.
-    pub begun: u32,
+    #[serde(rename = "begun")]
+    pub started: u32,
     /// The sum of their weights, in decibans. The sooner after the task's start a host crashes, the higher the
     /// weight.
-    pub sum: u32,
+    #[serde(rename = "sum")]
+    pub total_weight: u32,
     /// The highest of these weights, in decibans.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_weight: u32,
 }
 
-impl Own {
+impl OwnEvidence {
     /// The number of crashes under a batch task after which its job fails in any case. Users rely on at most
     /// two more starts after a third crash.
-    pub const MOST: u32 = 5;
+    pub const MAX_HOSTS: u32 = 5;
     /// The number of crashes after which the task runs only on hosts by itself.
-    const LAST: u32 = 3;
+    const ISOLATE_HOSTS: u32 = 3;
 
-    /// Records a crash of the given weight in decibans. `begun` is whether the task is known to have started on
+    /// Records a crash of the given weight in decibans. `started` is whether the task is known to have started on
     /// that host.
-    pub fn note(&mut self, weight: u32, begun: bool) {
-        self.begun += u32::from(begun);
-        self.sum = self.sum.saturating_add(weight);
-        self.most = self.most.max(weight);
+    pub fn record(&mut self, weight: u32, started: bool) {
+        self.started += u32::from(started);
+        self.total_weight = self.total_weight.saturating_add(weight);
+        self.max_weight = self.max_weight.max(weight);
         self.hosts = self.hosts.saturating_add(1);
     }
 
     /// The total weight, in decibans. The crash with the highest weight doesn't count: any host that crashes
     /// does so soon after the start of some task.
     pub fn weight(&self) -> u32 {
-        self.sum - self.most
+        self.total_weight - self.max_weight
     }
 
     /// Whether the task may not run beside other tasks any more.
-    pub fn is_last(&self) -> bool {
-        self.hosts >= Self::LAST
+    pub fn must_isolate(&self) -> bool {
+        self.hosts >= Self::ISOLATE_HOSTS
     }
 }
 
 impl Evidence {
     /// Records a crash of the given weight in decibans, and for how long the task had run. The weight of the
     /// first crash doesn't count, as any host may crash.
-    pub fn note(&mut self, weight: u32, worked: Duration) {
+    pub fn record(&mut self, weight: u32, run_time: Duration) {
         let counted = if self.hosts > 0 { weight } else { 0 };
         let counts = self.hosts > 0 && weight > 0;
-        let further = counts && self.tried >= FULL;
-        let taken = if further { FURTHER } else { 0 };
-        self.tried += u32::from(counts);
+        let further = counts && self.trials >= FULL_WEIGHT_HOSTS;
+        let taken = if further { DISCOUNT_DECIBANS } else { 0 };
+        self.trials += u32::from(counts);
         self.weight = self.weight.saturating_add(counted).saturating_sub(taken);
-        self.alone = weight > 0;
+        self.isolated = weight > 0;
         self.hosts = self.hosts.saturating_add(1);
-        self.longest = self.longest.max(worked);
+        self.longest_run = self.longest_run.max(run_time);
     }
 
     /// Whether the task is a suspect, which has to run on a host by itself.
     pub fn is_suspect(&self) -> bool {
-        self.is_suspect_without(0)
+        self.is_suspect_excluding(0)
     }
 
     /// Whether the task is a suspect if another cause was found for `explained` of the crashes.
-    pub fn is_suspect_without(&self, explained: u32) -> bool {
+    pub fn is_suspect_excluding(&self, explained: u32) -> bool {
         let left = self.hosts.saturating_sub(explained);
-        self.own.hosts >= SUSPECT || left >= CONVICT || (left > 0 && self.alone)
+        self.own.hosts >= MIN_SUSPECT_HOSTS
+            || left >= MIN_POISON_HOSTS
+            || (left > 0 && self.isolated)
     }
 
-    /// Whether the evidence is conclusive, so that the job of the task fails as poison. `lasting` is whether
+    /// Whether the evidence is conclusive, so that the job of the task fails as poison. `long_running` is whether
     /// the task is long-running.
-    pub fn is_conclusive(&self, lasting: bool) -> bool {
-        let least = if lasting { CONCLUSIVE.1 } else { CONCLUSIVE.0 };
+    pub fn is_conclusive(&self, long_running: bool) -> bool {
+        let least = if long_running {
+            CONCLUSIVE_DECIBANS.1
+        } else {
+            CONCLUSIVE_DECIBANS.0
+        };
         // Limited, because where hosts crash all the time, some tasks are present at two crashes by chance.
-        let twice = TWICE.min(self.own.weight());
-        let tried = self.hosts >= CONVICT && self.alone && self.weight + twice >= least;
-        if lasting {
-            return tried;
+        let repeated = MAX_REPEAT_DECIBANS.min(self.own.weight());
+        let in_trials =
+            self.hosts >= MIN_POISON_HOSTS && self.isolated && self.weight + repeated >= least;
+        if long_running {
+            return in_trials;
         }
-        let sudden = self.own.weight() >= CONCLUSIVE.1;
+        let without_trials = self.own.weight() >= CONCLUSIVE_DECIBANS.1;
         // Callers are told that a task may fail as poison once two hosts have crashed under it, and not before.
-        let proved = (tried || sudden) && self.own.begun >= SUSPECT;
-        proved || self.own.hosts >= Own::MOST
+        let proved = (in_trials || without_trials) && self.own.started >= MIN_SUSPECT_HOSTS;
+        proved || self.own.hosts >= OwnEvidence::MAX_HOSTS
     }
 
     /// Whether the evidence is conclusive against one of `tasks` long-running tasks. The more there are, the
     /// more evidence it takes, since some of them are present at several crashes by chance.
     pub fn is_conclusive_among(&self, tasks: usize) -> bool {
         let one = decibans(1.0 / tasks.max(1) as f64);
-        self.is_conclusive(true) && self.weight >= CONCLUSIVE.0 + one
+        self.is_conclusive(true) && self.weight >= CONCLUSIVE_DECIBANS.0 + one
     }
 
     /// Whether there is no evidence, as for nearly all tasks.
@@ -211,16 +221,16 @@
     /// The agent.
     pub agent: MinionId,
     /// The tasks that ran there.
-    pub tasks: Vec<Present>,
+    pub tasks: Vec<CrashedTask>,
     /// How often hosts crashed by themselves until then. Absent in log entries of earlier releases.
-    #[serde(default)]
-    pub seen: Seen,
+    #[serde(rename = "seen", default)]
+    pub failure_rate: FailureRate,
 }
 
 /// A task that ran on a host when it crashed, with the weight of the crash as evidence against the task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Present {
+pub struct CrashedTask {
     /// The task.
     pub task: TaskId,
     /// The weight of the crash, in decibans, if only this task or others of its job can have caused it;
@@ -229,22 +239,24 @@
     pub weight: u32,
     /// The weight of the crash by how soon after the task's start it happened, in decibans, whatever else ran
     /// there. Absent in log entries of earlier releases.
-    #[serde(default)]
-    pub sudden: u32,
+    #[serde(rename = "sudden", default)]
+    pub timing_weight: u32,
     /// Whether the task is known to have started there. Absent in log entries of earlier releases.
-    #[serde(default)]
-    pub begun: bool,
+    #[serde(rename = "begun", default)]
+    pub started: bool,
     /// How long the task may have run there. Absent in log entries of earlier releases.
-    #[serde(default)]
-    pub worked: Duration,
+    #[serde(rename = "worked", default)]
+    pub run_time: Duration,
 }
 
 /// How often hosts crashed by themselves recently.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Seen {
+pub struct FailureRate {
     /// The time that hosts were at work, summed over all hosts.
-    pub worked: Duration,
+    #[serde(rename = "worked")]
+    pub exposure: Duration,
     /// The number of hosts that crashed during that time for no known reason.
-    pub ends: u32,
+    #[serde(rename = "ends")]
+    pub failures: u32,
 }
--- a/src/core/workload/touched.rs
+++ b/src/core/workload/touched.rs
@@ -2,7 +2,7 @@
 //!
 //! Two successive leaders must not send orders about the same host within an interval that the provider
 //! sets. A new leader can't ask its predecessor what it has ordered. So a leader commits the hosts that it is
-//! about to send orders about ([`Touch`]) before the orders go out, and its successor waits for those hosts
+//! about to send orders about ([`OrderIntent`]) before the orders go out, and its successor waits for those hosts
 //! only. Without this record a new leader had to wait for all hosts: each election cost the moves of three
 //! seconds.
 //!
@@ -14,18 +14,18 @@
 //! ```
 //! use std::time::Duration;
 //!
-//! use egretpin::core::workload::touched::{Touch, Touched};
+//! use egretpin::core::workload::touched::{OrderIntent, OrderIntents};
 //!
-//! let touch = |term, at, hosts: &[&str]| Touch {
+//! let intent = |term, at, hosts: &[&str]| OrderIntent {
 //!     term,
 //!     at,
 //!     hosts: hosts.iter().map(|host| (*host).into()).collect(),
 //! };
-//! let mut touched = Touched::default();
-//! touched.apply(&touch(1, 4_000, &["h1"]));
-//! touched.apply(&touch(1, 4_700, &[]));
-//! touched.apply(&touch(2, 100, &[]));
-//! let ages: Vec<_> = touched.ages().collect();
+//! let mut intents = OrderIntents::default();
+//! intents.apply(&intent(1, 4_000, &["h1"]));
+//! intents.apply(&intent(1, 4_700, &[]));
+//! intents.apply(&intent(2, 100, &[]));
+//! let ages: Vec<_> = intents.ages().collect();
 //! assert_eq!(ages, [(&"h1".into(), Duration::from_millis(800))]);
 //! ```
 
@@ -37,13 +37,13 @@
 
 /// How long a host is remembered, in milliseconds: ten times the interval that providers require between the
 /// orders of two leaders today. A constant, since it must be the same on every node.
-const KEPT: u64 = 30_000;
+const RETENTION_MILLIS: u64 = 30_000;
 
 /// What a leader commits before it sends orders about hosts, and now and then, with or without hosts, to show
 /// that time passes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Touch {
+pub struct OrderIntent {
     /// The leader's term.
     pub term: Term,
     /// Milliseconds since the start of the term.
@@ -55,55 +55,56 @@
 /// The hosts that leaders have recently sent orders about.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct Touched {
+pub struct OrderIntents {
     /// The latest term with a record.
     term: Term,
     /// The latest time recorded in that term, in milliseconds since its start.
     at: u64,
-    hosts: BTreeMap<HostId, Seen>,
+    hosts: BTreeMap<HostId, LastIntent>,
 }
 
 /// When orders about a host were last recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-struct Seen {
+struct LastIntent {
     /// Milliseconds that passed since the record in terms before the latest one.
     before: u64,
     /// The time in the latest term from which on the age is counted, in milliseconds since its start.
     at: u64,
 }
 
-impl Touched {
+impl OrderIntents {
     /// Applies a record of a leader.
-    pub fn apply(&mut self, touch: &Touch) {
-        if touch.term > self.term {
-            for seen in self.hosts.values_mut() {
-                seen.before += self.at.saturating_sub(seen.at);
-                seen.at = 0;
+    pub fn apply(&mut self, intent: &OrderIntent) {
+        if intent.term > self.term {
+            for last in self.hosts.values_mut() {
+                last.before += self.at.saturating_sub(last.at);
+                last.at = 0;
             }
-            (self.term, self.at) = (touch.term, 0);
+            (self.term, self.at) = (intent.term, 0);
         }
-        self.at = self.at.max(touch.at);
+        self.at = self.at.max(intent.at);
         let now = self.at;
-        self.hosts.retain(|_, seen| seen.age(now) < KEPT);
-        let new = Seen { before: 0, at: now };
         self.hosts
-            .extend(touch.hosts.iter().map(|host| (host.clone(), new)));
+            .retain(|_, last| last.age(now) < RETENTION_MILLIS);
+        let new = LastIntent { before: 0, at: now };
+        self.hosts
+            .extend(intent.hosts.iter().map(|host| (host.clone(), new)));
     }
 
     /// Whether any leader has committed such a record. Leaders of earlier releases don't.
-    pub fn is_kept(&self) -> bool {
+    pub fn is_recorded(&self) -> bool {
         self.term > 0
     }
 
     /// The hosts that leaders have recently sent orders about, each with the least time since then.
     pub fn ages(&self) -> impl Iterator<Item = (&HostId, Duration)> {
-        let age = |seen: &Seen| Duration::from_millis(seen.age(self.at));
-        self.hosts.iter().map(move |(host, seen)| (host, age(seen)))
+        let age = |last: &LastIntent| Duration::from_millis(last.age(self.at));
+        self.hosts.iter().map(move |(host, last)| (host, age(last)))
     }
 }
 
-impl Seen {
+impl LastIntent {
     fn age(self, now: u64) -> u64 {
         self.before + now.saturating_sub(self.at)
     }
--- a/src/core/workload/workspace.rs
+++ b/src/core/workload/workspace.rs
@@ -82,9 +82,9 @@
             accelerators,
         } = self.0;
         let tasks = u64::from(tasks);
-        within(millicores, used.millicores, need.millicores, tasks)
-            && within(memory, used.memory, need.memory, tasks)
-            && within(
+        fits_cap(millicores, used.millicores, need.millicores, tasks)
+            && fits_cap(memory, used.memory, need.memory, tasks)
+            && fits_cap(
                 accelerators.into(),
                 used.accelerators.into(),
                 need.accelerators.into(),
@@ -93,7 +93,7 @@
     }
 
     /// The most tasks that may run at once, each needing `need`, if nothing else runs; at least one.
-    pub fn width(&self, need: &Resources) -> TaskIx {
+    pub fn max_parallel(&self, need: &Resources) -> TaskIx {
         let most = |cap: u64, need: u64| {
             let limited = cap > 0 && need > 0;
             if limited {
@@ -111,7 +111,7 @@
 
 /// Whether `tasks` tasks that each need `need` fit into the cap of one kind of resource. If nothing else uses
 /// it, the last of them may exceed the cap.
-fn within(cap: u64, used: u64, need: u64, tasks: u64) -> bool {
+fn fits_cap(cap: u64, used: u64, need: u64, tasks: u64) -> bool {
     let sum = |tasks: u64| used.saturating_add(need.saturating_mul(tasks));
     let alone = used == 0 && sum(tasks.saturating_sub(1)) <= cap;
     cap == 0 || alone || sum(tasks) <= cap
--- a/src/manager/cluster.rs
+++ b/src/manager/cluster.rs
@@ -134,7 +134,7 @@
             founders,
         });
         log::info!(cluster = cluster.id; "the cluster gets its id");
-        self.propose(Asker::Nobody, Command::Found(cluster));
+        self.propose(Asker::Nobody, Command::SetCluster(cluster));
     }
 
     /// The cluster that another voter says. A node of an earlier release may have been fed an image
--- a/src/manager/control.rs
+++ b/src/manager/control.rs
@@ -587,7 +587,7 @@
         }
         self.compacted = index;
         self.bytes = 0;
-        let image = self.ledger.image();
+        let image = self.ledger.snapshot();
         self.consensus(consensus::Input::Compact { index, image });
     }
 
--- a/src/manager/outputs.rs
+++ b/src/manager/outputs.rs
@@ -29,7 +29,7 @@
             }
             Output::Write { write, record } => self.writes.push(Write { write, record }),
             Output::Apply(entry) => self.apply(&entry),
-            Output::Restore { index, image } => match Ledger::from_image(&image) {
+            Output::Restore { index, image } => match Ledger::from_snapshot(&image) {
                 Ok(ledger) => {
                     log::info!(index; "the ledger was restored from a snapshot");
                     self.ledger = ledger;
@@ -108,7 +108,7 @@
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.applied(now, wall(), &self.ledger, command, &changes);
         }
-        if let Command::Found(_) = command {
+        if let Command::SetCluster(_) = command {
             self.join();
         }
         if let Command::Submit(submission) = command {
@@ -129,8 +129,8 @@
             return;
         }
         match change {
-            Change::Gone(agent) => log::info!(agent:%; "an agent is over"),
-            Change::Convicted(task) => {
+            Change::Terminated(agent) => log::info!(agent:%; "an agent is over"),
+            Change::PoisonTask(task) => {
                 log::warn!(task:%; "a job has failed, since a task of it ends the hosts that run it");
                 self.ports.metrics.convicted.inc();
             }
--- a/src/manager/questions.rs
+++ b/src/manager/questions.rs
@@ -11,7 +11,7 @@
     core::{
         types::Name,
         workload::{
-            catalog::{Place, QueueSpec},
+            catalog::{PathTarget, QueueSpec},
             command::{AgentRecord, Command, Document, Submission},
             job::Job,
             spec::JobSpec,
@@ -46,7 +46,7 @@
                 let record = self.ledger.wave_record(wave);
                 let none = Reply::Unknown(Unknown::Wave);
                 let reply = record.map_or(none, |record| Reply::Wave {
-                    through: record.left.is_empty(),
+                    through: record.remaining.is_empty(),
                 });
                 self.reply(asker, reply);
             }
@@ -67,7 +67,7 @@
             log::info!(agent:% = name; "an agent has said good-bye that never said it would leave");
             return self.reply(asker, Reply::Done);
         };
-        self.propose(asker, Command::Gone(id));
+        self.propose(asker, Command::Terminated(id));
     }
 
     fn declare(&mut self, asker: Asker, document: Document) {
@@ -92,19 +92,21 @@
         };
         let seen = |job: &&Job| catalog.may_see(caller, job);
         let reply = match (place, call.verb) {
-            (Place::Job(job), Verb::Submit(spec)) => {
+            (PathTarget::Job(job), Verb::Submit(spec)) => {
                 return self.submit(asker, job, queue, caller, *spec);
             }
-            (Place::Job(job), Verb::Cancel) => return self.cancel(asker, job, caller),
-            (Place::Job(job), Verb::Look) => {
+            (PathTarget::Job(job), Verb::Cancel) => return self.cancel(asker, job, caller),
+            (PathTarget::Job(job), Verb::Look) => {
                 let job = self.ledger.job(job).filter(seen);
                 job.map_or(Reply::Unknown(Unknown::Job), |job| Reply::State(job.state))
             }
-            (Place::Queue, Verb::Look) => Reply::Pending(self.ledger.pending(&queue.name)),
-            (Place::Nothing, Verb::Look | Verb::Cancel) => Reply::Unknown(Unknown::Job),
-            (Place::Queue | Place::Nothing, Verb::Submit(_) | Verb::Cancel) => Reply::Invalid(
-                "the path must end with the job's number, 16 hexadecimal digits".to_owned(),
-            ),
+            (PathTarget::Queue, Verb::Look) => Reply::Pending(self.ledger.pending(&queue.name)),
+            (PathTarget::Nothing, Verb::Look | Verb::Cancel) => Reply::Unknown(Unknown::Job),
+            (PathTarget::Queue | PathTarget::Nothing, Verb::Submit(_) | Verb::Cancel) => {
+                Reply::Invalid(
+                    "the path must end with the job's number, 16 hexadecimal digits".to_owned(),
+                )
+            }
         };
         self.reply(asker, reply);
     }
@@ -139,7 +141,7 @@
             pool: queue.pool.clone(),
             workspace: workspace.clone(),
             spec,
-            accepted: wall(),
+            accepted_at: wall(),
         };
         if let Some(wait) = self.comeback(&submission) {
             return self.reply(asker, Reply::Refused(Refused::Storm(wait)));
@@ -172,7 +174,7 @@
         if !own {
             return self.reply(asker, Reply::Unknown(Unknown::Job));
         }
-        if found.is_over() {
+        if found.has_ended() {
             return self.reply(asker, Reply::Done);
         }
         self.propose(asker, Command::Cancel(job));
--- a/tests/manager/cluster.rs
+++ b/tests/manager/cluster.rs
@@ -50,18 +50,18 @@
     let mut ledger = Ledger::default();
     assert_eq!(ledger.cluster(), None);
     for (index, id) in [(1, 7), (2, 8)] {
-        let encoded = Command::Found(cluster(id)).encode();
+        let encoded = Command::SetCluster(cluster(id)).encode();
         ledger.apply(index, &Command::decode(&encoded).unwrap());
     }
     assert_eq!(ledger.cluster(), Some(&cluster(7)));
-    let restored = Ledger::from_image(&ledger.image()).unwrap();
+    let restored = Ledger::from_snapshot(&ledger.snapshot()).unwrap();
     assert_eq!(restored.cluster(), Some(&cluster(7)));
 }
 
 /// Earlier releases wrote images that have no such field.
 #[test]
 fn an_image_of_an_earlier_release_has_no_id() {
-    let image = Ledger::default().image();
+    let image = Ledger::default().snapshot();
     let mut value: ciborium::Value = ciborium::from_reader(image.as_ref()).unwrap();
     let fields = value.as_map_mut().unwrap();
     let before = fields.len();
@@ -69,5 +69,5 @@
     assert_eq!(fields.len() + 1, before);
     let mut bytes = Vec::new();
     ciborium::into_writer(&value, &mut bytes).unwrap();
-    assert_eq!(Ledger::from_image(&bytes).unwrap().cluster(), None);
+    assert_eq!(Ledger::from_snapshot(&bytes).unwrap().cluster(), None);
 }
--- a/tests/workload/acquitted.rs
+++ b/tests/workload/acquitted.rs
@@ -218,7 +218,7 @@
         let jobs = self.world.ledger.jobs();
         let failed = jobs.filter(|(_, job)| job.state == JobState::Failed);
         let told = failed.map(|(id, job)| {
-            let convicted = job.convicted.map(|task| task.to_string());
+            let convicted = job.poison_task.map(|task| task.to_string());
             format!("job {id}, {convicted:?}: {}", self.held(id).join(", "))
         });
         told.collect()
@@ -364,7 +364,11 @@
     let tasks: Vec<_> = crashes.flat_map(|crash| &crash.tasks).collect();
     assert!(!tasks.is_empty());
     for present in tasks {
-        assert!(!present.begun, "{present:?}");
-        assert_eq!((present.weight, present.sudden), (0, 0), "{present:?}");
+        assert!(!present.started, "{present:?}");
+        assert_eq!(
+            (present.weight, present.timing_weight),
+            (0, 0),
+            "{present:?}"
+        );
     }
 }
--- a/tests/workload/budgets.rs
+++ b/tests/workload/budgets.rs
@@ -24,7 +24,7 @@
     world.protections = protections;
     world.lead();
     let mut step = lasting(6, 2);
-    step.budget = 2;
+    step.disruption_budget = 2;
     world.submit(1, JobSpec::new("x", vec![step]));
     world.until("it runs", ms(3000), |world| world.runs(1).len() == 6);
     world
--- a/tests/workload/cancelled.rs
+++ b/tests/workload/cancelled.rs
@@ -94,7 +94,7 @@
         }
         3 if trouble.burials => {
             let agent = any(rng, world);
-            world.propose(Command::Gone(agent));
+            world.propose(Command::Terminated(agent));
         }
         4 => {
             let agent = any(rng, world);
@@ -243,7 +243,7 @@
     world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
     world.until("it runs", ms(2000), |world| world.runs(1).len() == 1);
     let (agent, _) = world.runs(1).remove(0);
-    world.propose(Command::Gone(agent));
+    world.propose(Command::Terminated(agent));
     world.propose(Command::Cancel(1));
     world.until("it is cancelled", ms(100), |world| {
         world.state(1) == Some(JobState::Cancelled)
--- a/tests/workload/catalog.rs
+++ b/tests/workload/catalog.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use egretpin::core::workload::catalog::{Catalog, CatalogError, Place, PoolSpec, QueueSpec};
+use egretpin::core::workload::catalog::{Catalog, CatalogError, PathTarget, PoolSpec, QueueSpec};
 
 fn queue(name: &str, host: &str, prefix: &str) -> QueueSpec {
     QueueSpec {
@@ -45,16 +45,16 @@
 #[test]
 fn a_job_is_sixteen_hexadecimal_digits() {
     let catalog = catalog(vec![queue("q", "a", "/q/")]);
-    let place = |path| catalog.find("a", path).map(|(_, place)| place);
-    assert_eq!(place("/q/00000000000000ff"), Some(Place::Job(255)));
-    assert_eq!(place("/q/"), Some(Place::Queue));
+    let target = |path| catalog.find("a", path).map(|(_, target)| target);
+    assert_eq!(target("/q/00000000000000ff"), Some(PathTarget::Job(255)));
+    assert_eq!(target("/q/"), Some(PathTarget::Queue));
     for path in [
         "/q/ff",
         "/q/00000000000000fg",
         "/q/+0000000000000ff",
         "/q/0/0",
     ] {
-        assert_eq!(place(path), Some(Place::Nothing), "{path}");
+        assert_eq!(target(path), Some(PathTarget::Nothing), "{path}");
     }
 }
 
--- a/tests/workload/hosts.rs
+++ b/tests/workload/hosts.rs
@@ -12,7 +12,7 @@
         world
             .ledger
             .wave_record(1)
-            .is_some_and(|wave| wave.left.is_empty())
+            .is_some_and(|wave| wave.remaining.is_empty())
     });
     assert_eq!(world.peak, 2, "as many at once as may be");
 }
@@ -29,7 +29,7 @@
         world
             .ledger
             .wave_record(1)
-            .is_some_and(|wave| wave.left.is_empty())
+            .is_some_and(|wave| wave.remaining.is_empty())
     });
 }
 
@@ -65,7 +65,7 @@
         world
             .ledger
             .wave_record(1)
-            .is_some_and(|wave| wave.left.is_empty())
+            .is_some_and(|wave| wave.remaining.is_empty())
     });
 }
 
@@ -77,7 +77,7 @@
         world
             .ledger
             .wave_record(1)
-            .is_some_and(|wave| wave.left.is_empty())
+            .is_some_and(|wave| wave.remaining.is_empty())
     });
 }
 
@@ -230,7 +230,7 @@
     world.depose();
     world.pass(ms(300));
     world.lead();
-    assert!(!world.ledger.wave_record(1).unwrap().left.is_empty());
+    assert!(!world.ledger.wave_record(1).unwrap().remaining.is_empty());
     // All hosts are busy until after the wave has to be through.
     for job in 1..=8 {
         world.submit(job, JobSpec::new("x", vec![step(4, 1, 9000)]));
--- a/tests/workload/ledger.rs
+++ b/tests/workload/ledger.rs
@@ -6,8 +6,8 @@
     types::Resources,
     workload::{
         command::{
-            AgentRecord, CatalogText, Command, Document, End, Ending, Ends, Placed, Round,
-            Submission,
+            AgentRecord, CatalogText, Command, Document, EndBatch, Ending, Placement, ReportedEnd,
+            Round, Submission,
         },
         job::{JobState, StepId, TaskId},
         ledger::{Change, Ledger},
@@ -43,7 +43,7 @@
             pool: "pool".into(),
             workspace: None,
             spec,
-            accepted: Duration::ZERO,
+            accepted_at: Duration::ZERO,
         })));
         world
     }
@@ -73,13 +73,13 @@
         attempt: u32,
         how: Ending,
     ) -> Vec<Change> {
-        let end = End {
+        let end = ReportedEnd {
             task,
             attempt,
             how,
             checkpoint: None,
         };
-        let ends = Ends {
+        let ends = EndBatch {
             agent: agent.into(),
             through,
             ends: vec![end],
@@ -103,7 +103,7 @@
         address: "127.0.0.1:1".parse().unwrap(),
         data_centre: "west".into(),
         labels: Vec::new(),
-        room: Resources::default(),
+        capacity: Resources::default(),
         leaving: false,
         acked: 0,
         sequence: 0,
@@ -121,7 +121,7 @@
     }));
     world.start(task(0, 0), 2, "b");
     let changes = world.end("a", 1, task(0, 0), 1, Ending::Done);
-    let redundant = Change::Superfluous(placed(task(0, 0), 2, "b"));
+    let redundant = Change::Redundant(placed(task(0, 0), 2, "b"));
     assert!(changes.contains(&redundant), "{changes:?}");
     // Its own end doesn't report it as redundant again.
     let changes = world.end("b", 1, task(0, 0), 2, Ending::Stopped);
@@ -137,8 +137,8 @@
     TaskId { step, task }
 }
 
-fn placed(task: TaskId, attempt: u32, agent: &str) -> Placed {
-    Placed {
+fn placed(task: TaskId, attempt: u32, agent: &str) -> Placement {
+    Placement {
         task,
         attempt,
         agent: agent.into(),
@@ -158,12 +158,12 @@
     world.end("a", 1, task(0, 0), 1, Ending::Done);
     let changes = world.end("b", 1, task(0, 1), 1, Ending::Done);
     assert!(
-        changes.contains(&Change::Opened(task(1, 0).step)),
+        changes.contains(&Change::StepReady(task(1, 0).step)),
         "{changes:?}"
     );
     world.start(task(1, 0), 1, "a");
     let changes = world.end("a", 2, task(1, 0), 1, Ending::Done);
-    assert!(changes.contains(&Change::Over(JOB)), "{changes:?}");
+    assert!(changes.contains(&Change::JobEnded(JOB)), "{changes:?}");
     assert_eq!(world.state(), JobState::Completed);
 }
 
@@ -208,12 +208,12 @@
 fn tasks_of_a_terminated_agent_need_another_attempt() {
     let mut world = World::new();
     world.start(task(0, 0), 1, "a");
-    let changes = world.apply(&Command::Gone("a".into()));
-    let unplaced = Change::Vacated {
+    let changes = world.apply(&Command::Terminated("a".into()));
+    let unplaced = Change::Unplaced {
         placed: placed(task(0, 0), 1, "a"),
-        again: true,
+        retry: true,
     };
-    assert_eq!(changes, [unplaced, Change::Gone("a".into())]);
+    assert_eq!(changes, [unplaced, Change::Terminated("a".into())]);
     assert!(world.end("a", 1, task(0, 0), 1, Ending::Done).is_empty());
 }
 
@@ -221,13 +221,13 @@
 fn a_cancelled_job_places_and_retries_nothing() {
     let mut world = World::new();
     world.start(task(0, 0), 1, "a");
-    assert_eq!(world.apply(&Command::Cancel(JOB)), [Change::Over(JOB)]);
+    assert_eq!(world.apply(&Command::Cancel(JOB)), [Change::JobEnded(JOB)]);
     assert!(world.start(task(0, 1), 1, "b").is_empty());
     let changes = world.end("a", 1, task(0, 0), 1, Ending::Stopped);
     assert!(
-        changes.contains(&Change::Vacated {
+        changes.contains(&Change::Unplaced {
             placed: placed(task(0, 0), 1, "a"),
-            again: false
+            retry: false
         }),
         "{changes:?}"
     );
@@ -237,14 +237,14 @@
 #[test]
 fn a_long_running_task_is_never_done() {
     let mut step = StepSpec::new(1, Duration::from_secs(1));
-    step.lasting = true;
+    step.long_running = true;
     let mut world = World::with(JobSpec::new("x", vec![step]));
     world.start(task(0, 0), 1, "a");
     let changes = world.end("a", 1, task(0, 0), 1, Ending::Done);
     assert!(
-        changes.contains(&Change::Vacated {
+        changes.contains(&Change::Unplaced {
             placed: placed(task(0, 0), 1, "a"),
-            again: true
+            retry: true
         }),
         "{changes:?}"
     );
@@ -284,7 +284,7 @@
     world.start(task(0, 0), 1, "a");
     world.end("a", 1, task(0, 0), 1, Ending::Failed);
     world.start(task(0, 0), 2, "b");
-    let restored = Ledger::from_image(&world.ledger.image()).unwrap();
+    let restored = Ledger::from_snapshot(&world.ledger.snapshot()).unwrap();
     assert_eq!(
         restored.placed(&"b".into()).collect::<Vec<_>>(),
         [task(0, 0)]
@@ -306,7 +306,7 @@
 fn an_older_heartbeat_changes_nothing() {
     let mut world = World::new();
     world.apply(&Command::Agent(Box::new(heartbeat(7, "new"))));
-    world.ledger = Ledger::from_image(&world.ledger.image()).unwrap();
+    world.ledger = Ledger::from_snapshot(&world.ledger.snapshot()).unwrap();
     let older = Command::Agent(Box::new(heartbeat(6, "old")));
     assert!(world.apply(&older).is_empty());
     assert_eq!(world.ledger.agent(&"a".into()), Some(&heartbeat(7, "new")));
@@ -316,7 +316,7 @@
 fn an_incarnation_terminated_by_mistake_is_registered_by_its_next_heartbeat() {
     let mut world = World::new();
     world.apply(&Command::Agent(Box::new(heartbeat(7, "old"))));
-    world.apply(&Command::Gone("a".into()));
+    world.apply(&Command::Terminated("a".into()));
     let register = |world: &mut World, sequence| {
         world.apply(&Command::Agent(Box::new(heartbeat(sequence, "old"))))
     };
@@ -325,17 +325,17 @@
         "a heartbeat from before the end is stale"
     );
     assert_eq!(register(&mut world, 8), [Change::Agent("a".into())]);
-    world.apply(&Command::Gone("a".into()));
+    world.apply(&Command::Terminated("a".into()));
     assert!(register(&mut world, 8).is_empty());
 }
 
 #[test]
 fn a_late_heartbeat_of_a_terminated_incarnation_does_not_register_it() {
     let mut world = World::new();
-    world.apply(&Command::Gone("a".into()));
+    world.apply(&Command::Terminated("a".into()));
     // The end of an incarnation may also be committed before its first heartbeat.
-    world.apply(&Command::Gone("c".into()));
-    world.ledger = Ledger::from_image(&world.ledger.image()).unwrap();
+    world.apply(&Command::Terminated("c".into()));
+    world.ledger = Ledger::from_snapshot(&world.ledger.snapshot()).unwrap();
     for agent in ["a", "c"] {
         assert!(world.register(agent).is_empty());
         assert!(world.ledger.agent(&agent.into()).is_none());
@@ -348,9 +348,9 @@
     let mut world = World::new();
     let id = |number: u32| format!("i-{number:08x}");
     for number in 0..10_000 {
-        world.apply(&Command::Gone(id(number).as_str().into()));
+        world.apply(&Command::Terminated(id(number).as_str().into()));
     }
-    let size = world.ledger.image().len();
+    let size = world.ledger.snapshot().len();
     assert!(size < 100_000, "{size} bytes");
     assert!(world.register(&id(9999)).is_empty());
     assert!(world.register(&id(9999 - 4000)).is_empty());
@@ -369,12 +369,12 @@
             .for_each(|(_, field)| without(field, names));
     }
     let mut world = World::new();
-    world.apply(&Command::Gone("b".into()));
-    let mut snapshot: Value = ciborium::from_reader(&*world.ledger.image()).unwrap();
+    world.apply(&Command::Terminated("b".into()));
+    let mut snapshot: Value = ciborium::from_reader(&*world.ledger.snapshot()).unwrap();
     without(&mut snapshot, &["over", "sequence"]);
     let mut bytes = Vec::new();
     ciborium::into_writer(&snapshot, &mut bytes).unwrap();
-    let ledger = Ledger::from_image(&bytes).unwrap();
+    let ledger = Ledger::from_snapshot(&bytes).unwrap();
     assert_eq!(ledger.agent(&"a".into()), world.ledger.agent(&"a".into()));
     assert!(ledger.agent(&"b".into()).is_none());
 }
--- a/tests/workload/lists.rs
+++ b/tests/workload/lists.rs
@@ -13,7 +13,7 @@
 fn is_through(ledger: &Ledger) -> bool {
     ledger
         .wave_record(1)
-        .is_some_and(|wave| wave.left.is_empty())
+        .is_some_and(|wave| wave.remaining.is_empty())
 }
 
 /// The wave ends, and all of its hosts that are there were maintained.
--- a/tests/workload/promises.rs
+++ b/tests/workload/promises.rs
@@ -151,7 +151,7 @@
 fn best_effort_work_keeps_away_from_what_serves() {
     let mut world = World::new(4, 10);
     let mut serving = lasting(2, 2);
-    serving.tail = Some(ms(50));
+    serving.tail_latency = Some(ms(50));
     let mut filling = lasting(2, 2);
     filling.best_effort = true;
     world.submit(1, JobSpec::new("x", vec![serving]));
--- a/tests/workload/reborn.rs
+++ b/tests/workload/reborn.rs
@@ -400,7 +400,7 @@
     }
     world.faults = Faults::default();
     world.until("all are over", ms(60_000), |world| {
-        world.ledger.jobs().all(|(_, job)| job.is_over())
+        world.ledger.jobs().all(|(_, job)| job.has_ended())
     });
     world.pass(ms(3000));
     world.redone
--- a/tests/workload/scarce.rs
+++ b/tests/workload/scarce.rs
@@ -95,7 +95,7 @@
     let limit = world.now + (shape.away + shape.delay + ms(1500)) * turns + ms(20_000);
     let waits = |world: &World| {
         let jobs = world.ledger.jobs().filter(|(id, _)| *id < LASTING);
-        jobs.filter(|(_, job)| !job.is_over()).count()
+        jobs.filter(|(_, job)| !job.has_ended()).count()
     };
     while waits(&world) > 0 && world.now < limit {
         world.pass(ms(100));
--- a/tests/workload/spec.rs
+++ b/tests/workload/spec.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use egretpin::core::workload::spec::{JobSpec, MOST_TASKS, SpecError, StepSpec};
+use egretpin::core::workload::spec::{JobSpec, MAX_TASKS, SpecError, StepSpec};
 
 fn step(after: &[u16], millis: u64) -> StepSpec {
     let mut step = StepSpec::new(1, Duration::from_millis(millis));
@@ -29,7 +29,7 @@
         JobSpec::new("x", vec![none]).check(),
         Err(SpecError::NoTasks { step: 0 })
     );
-    let many = StepSpec::new(MOST_TASKS, Duration::ZERO);
+    let many = StepSpec::new(MAX_TASKS, Duration::ZERO);
     let job = JobSpec::new("x", vec![many.clone(), many]);
     assert_eq!(job.check(), Err(SpecError::Tasks));
     let job = JobSpec::new(&"x".repeat(4001), vec![step(&[], 1)]);
@@ -45,7 +45,7 @@
         step(&[1, 2], 50),
     ];
     let job = JobSpec::new("x", steps);
-    assert_eq!(job.chain(), Duration::from_millis(750));
+    assert_eq!(job.critical_path(), Duration::from_millis(750));
     let remaining_millis: Vec<_> = job
         .remaining(|step| step.estimate)
         .iter()
--- a/tests/workload/storms.rs
+++ b/tests/workload/storms.rs
@@ -139,7 +139,7 @@
         pool: POOL.into(),
         workspace: None,
         spec: spec.clone(),
-        accepted: world.now,
+        accepted_at: world.now,
     };
     let scheduler = world.scheduler.as_ref();
     scheduler.is_some_and(|scheduler| {
@@ -163,7 +163,7 @@
     let (mut waiting, mut lost) = (0, Vec::new());
     for (id, job) in short {
         let deadly = world.deadly.contains_key(&id);
-        waiting += usize::from(!job.is_over());
+        waiting += usize::from(!job.has_ended());
         outcome.done += usize::from(!deadly && job.state == JobState::Completed);
         let ends = world.ends.iter().filter(|(task, _)| task.step.job == id);
         let most = ends.map(|(_, ends)| *ends).max().unwrap_or_default();
--- a/tests/workload/suspects.rs
+++ b/tests/workload/suspects.rs
@@ -8,7 +8,7 @@
 use egretpin::core::{
     types::MinionId,
     workload::{
-        command::{Command, Placed, Round},
+        command::{Command, Placement, Round},
         job::JobState,
         scheduler::Scheduler,
         spec::{JobSpec, Recurrence, StepSpec},
@@ -220,7 +220,7 @@
         job.is_some_and(|job| job.finished == 1 && job.task(task).is_none())
     });
     world.propose(Command::Round(Round {
-        starts: vec![Placed {
+        starts: vec![Placement {
             task,
             attempt: 2,
             agent,
--- a/tests/workload/suspicion.rs
+++ b/tests/workload/suspicion.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use egretpin::core::workload::suspicion::{Evidence, Own, decibans};
+use egretpin::core::workload::suspicion::{Evidence, OwnEvidence, decibans};
 
 /// Evidence of crashes soon after the task started beside others, one for each probability that it is chance.
 fn early_crashes(chances: &[f64]) -> Evidence {
     let mut evidence = Evidence::default();
     for chance in chances {
-        evidence.note(0, Duration::from_millis(20));
-        evidence.own.note(decibans(*chance), true);
+        evidence.record(0, Duration::from_millis(20));
+        evidence.own.record(decibans(*chance), true);
     }
     evidence
 }
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_batch_task_fails_before_it_starts_more_often_than_users_accept() {
-    let most = usize::try_from(Own::MOST).unwrap();
+    let most = usize::try_from(OwnEvidence::MAX_HOSTS).unwrap();
     assert!(!early_crashes(&vec![1.0; most - 1]).is_conclusive(false));
     assert!(early_crashes(&vec![1.0; most]).is_conclusive(false));
     // Sooner or later hosts crash under every long-running task.
@@ -46,10 +46,10 @@
     let run_time = Duration::from_millis(20);
     let mut evidence = Evidence::default();
     for chance in [1.0, 1.0, 0.0001, 0.0001] {
-        evidence.note(decibans(chance), run_time);
-        evidence.own.note(decibans(chance), false);
+        evidence.record(decibans(chance), run_time);
+        evidence.own.record(decibans(chance), false);
     }
     assert!(evidence.is_suspect() && !evidence.is_conclusive(false));
-    evidence.own.begun = 2;
+    evidence.own.started = 2;
     assert!(evidence.is_conclusive(false));
 }
--- a/tests/workload/touched.rs
+++ b/tests/workload/touched.rs
@@ -3,7 +3,7 @@
 use egretpin::core::workload::{
     scheduler::Protections,
     spec::JobSpec,
-    touched::{Touch, Touched},
+    touched::{OrderIntent, OrderIntents},
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,8 +13,8 @@
 /// The number of simulated worlds for each set of protections.
 const SEEDS: u64 = 40;
 
-fn touch(term: u64, at: u64, hosts: &[&str]) -> Touch {
-    Touch {
+fn intent(term: u64, at: u64, hosts: &[&str]) -> OrderIntent {
+    OrderIntent {
         term,
         at,
         hosts: hosts.iter().map(|host| (*host).into()).collect(),
@@ -23,18 +23,18 @@
 
 #[test]
 fn ages_add_up_over_terms_and_expire() {
-    let mut touched = Touched::default();
-    assert!(!touched.is_kept());
-    touched.apply(&touch(3, 1_000, &["a", "b"]));
-    touched.apply(&touch(3, 1_500, &["b"]));
-    touched.apply(&touch(3, 2_000, &[]));
+    let mut intents = OrderIntents::default();
+    assert!(!intents.is_recorded());
+    intents.apply(&intent(3, 1_000, &["a", "b"]));
+    intents.apply(&intent(3, 1_500, &["b"]));
+    intents.apply(&intent(3, 2_000, &[]));
     // The time in a term counts up to the last record of that term.
-    touched.apply(&touch(5, 300, &["c"]));
-    let ages: Vec<_> = touched.ages().map(|(_, age)| age.as_millis()).collect();
+    intents.apply(&intent(5, 300, &["c"]));
+    let ages: Vec<_> = intents.ages().map(|(_, age)| age.as_millis()).collect();
     assert_eq!(ages, [1_300, 800, 0]);
-    touched.apply(&touch(5, 40_000, &[]));
-    assert_eq!(touched.ages().count(), 0);
-    assert!(touched.is_kept());
+    intents.apply(&intent(5, 40_000, &[]));
+    assert_eq!(intents.ages().count(), 0);
+    assert!(intents.is_recorded());
 }
 
 /// Simulates two queues with alternating peaks, while leaders are deposed and elected.
--- a/tests/workload/workspaces.rs
+++ b/tests/workload/workspaces.rs
@@ -32,7 +32,7 @@
         prefix: format!("/{name}/").into(),
         timeout: Duration::from_secs(1),
         pool: "soil".into(),
-        keyed,
+        requires_key: keyed,
         ..QueueSpec::default()
     }
 }
@@ -78,11 +78,13 @@
 #[test]
 fn a_job_is_visible_to_its_own_workspace_under_each_of_its_keys() {
     let catalog = two();
-    let [a, b] = ["ka", "kc"].map(|text| catalog.holder(key(text)));
+    let [a, b] = ["ka", "kc"].map(|text| catalog.workspace_for_key(key(text)));
     let spec = JobSpec::new("x", vec![StepSpec::new(1, Duration::from_secs(1))]);
     let mut job = Job::new("keyed".into(), "soil".into(), spec.clone(), Duration::ZERO);
     job.workspace = Some("a".into());
-    assert!(catalog.may_see(a, &job) && catalog.may_see(catalog.holder(key("kb")), &job));
+    assert!(
+        catalog.may_see(a, &job) && catalog.may_see(catalog.workspace_for_key(key("kb")), &job)
+    );
     assert!(!catalog.may_see(b, &job) && !catalog.may_see(None, &job));
     // Its queue requires no key any more, so that its own callers present none.
     job.queue = "open".into();
@@ -148,7 +150,7 @@
         "the last task alone may exceed the cap"
     );
     assert!(!cap.allows(&resources(0, 0), &resources(2000, 1), 4));
-    assert_eq!(cap.width(&resources(1000, 50)), 2);
-    assert_eq!(cap.width(&resources(9000, 1)), 1);
-    assert_eq!(Cap::default().width(&resources(9000, 1)), u32::MAX);
+    assert_eq!(cap.max_parallel(&resources(1000, 50)), 2);
+    assert_eq!(cap.max_parallel(&resources(9000, 1)), 1);
+    assert_eq!(Cap::default().max_parallel(&resources(9000, 1)), u32::MAX);
 }
--- a/tests/workload/world.rs
+++ b/tests/workload/world.rs
@@ -42,9 +42,9 @@
 pub(crate) const GUIDED: &str = "guided";
 /// What it takes to ask the service.
 const ELIGIBILITY: Eligibility = Eligibility {
-    decision: ms(40),
-    each: ms(5),
-    valid: ms(3000),
+    per_query: ms(40),
+    per_agent: ms(5),
+    valid_for: ms(3000),
 };
 /// Turns of a leader from one that is compared with that of a twin which looks at every agent, and not
 /// only at those that something is known to be due for, to the next.
@@ -381,10 +381,10 @@
             name: name.into(),
             prefix: format!("/{name}/").into(),
             timeout: ms(1000),
-            target: ms(500),
+            objective_offset: ms(500),
             stretch: 1.5,
             pool: pool.into(),
-            attempts: 3,
+            max_attempts: 3,
             ..QueueSpec::default()
         };
         let guided = QueueSpec {
@@ -394,7 +394,7 @@
         let pool = |name: &str, spare| PoolSpec {
             name: name.into(),
             spare,
-            guarded: false,
+            admission_control: false,
         };
         let pools = vec![pool(POOL, false), pool(OTHER, false), pool(SPARE, true)];
         let mut world = Self {
@@ -484,7 +484,7 @@
     pub(crate) fn with_filling(seed: u64) -> Self {
         let mut world = Self::new(1, seed);
         let mut serving = lasting(1, 2);
-        serving.tail = Some(ms(50));
+        serving.tail_latency = Some(ms(50));
         let mut filling = lasting(1, 2);
         filling.best_effort = true;
         world.submit(1, JobSpec::new("x", vec![serving, filling]));
@@ -548,7 +548,7 @@
             address,
             data_centre: "west".into(),
             labels: vec!["a".into(), format!("r{rack}").into()],
-            room: Resources {
+            capacity: Resources {
                 millicores: 8000,
                 memory: 1 << 30,
                 accelerators: 0,
@@ -718,7 +718,7 @@
             pool,
             workspace: self.owner.clone(),
             spec,
-            accepted: self.now,
+            accepted_at: self.now,
         })));
     }
 
@@ -729,9 +729,9 @@
     pub(crate) fn wave(&mut self, wave: WaveId, hosts: &[&str], cap: u32, within: Duration) {
         self.propose(Command::Wave(WaveRecord {
             wave,
-            left: hosts.iter().map(|host| HostId::from(*host)).collect(),
-            cap,
-            until: self.now + within,
+            remaining: hosts.iter().map(|host| HostId::from(*host)).collect(),
+            max_concurrent: cap,
+            deadline: self.now + within,
         }));
     }
 
@@ -999,7 +999,7 @@
     /// Whether a task may run, or run again, some time.
     fn may_run(&self, task: TaskId) -> bool {
         let job = self.ledger.job(task.step.job);
-        let Some(job) = job.filter(|job| !job.is_over()) else {
+        let Some(job) = job.filter(|job| !job.has_ended()) else {
             return false;
         };
         let run = job.runs.get(&task.step.occurrence);
@@ -1265,7 +1265,7 @@
                     return;
                 }
                 let record = self.ledger.wave_record(*wave).expect("the wave is known");
-                let cap = usize::try_from(record.cap).unwrap();
+                let cap = usize::try_from(record.max_concurrent).unwrap();
                 let down = self.down.entry(*wave).or_default();
                 if self.hosts.contains_key(host) && !down.contains(host) {
                     assert!(down.len() < cap, "at most {cap} hosts of a wave are down");
@@ -1376,13 +1376,13 @@
             return self.answer(order, Answer::Silent);
         }
         let count = u32::try_from(agents.len()).unwrap();
-        let done = self.now + ELIGIBILITY.decision + ELIGIBILITY.each * count;
+        let done = self.now + ELIGIBILITY.per_query + ELIGIBILITY.per_agent * count;
         let mut allowed = Vec::new();
         for id in agents {
             let even = self.agents.get(id).is_some_and(|a| is_even(&a.host));
             if even {
                 let grant: Name = format!("{step} {id} {done:?}").into();
-                let holds = done + ELIGIBILITY.valid;
+                let holds = done + ELIGIBILITY.valid_for;
                 self.grants.insert(grant.clone(), (step, id.clone(), holds));
                 allowed.push((id.clone(), grant));
             }
@@ -1466,7 +1466,7 @@
             .iter()
             .any(|(other, agent)| other != id && agent.running.contains_key(&start.task));
         let done = job.task(start.task).is_some_and(|task| task.done);
-        let open = job.is_open(start.task.step);
+        let open = job.is_ready(start.task.step);
         let granted = self.is_granted(&job.queue, start);
         let unwell = self.rng.random_bool(self.faults.unwell);
         let (fails, slow) = (
@@ -1523,11 +1523,11 @@
             assert!(open, "not before the steps before it: {what}");
             let beside = agent.running.contains_key(&start.task);
             assert!(!beside, "not beside itself: {what}");
-            let free = agent.record.room.minus(&agent.used());
-            assert!(free.fits(&spec.room()), "within the room: {what}");
+            let free = agent.record.capacity.minus(&agent.used());
+            assert!(free.fits(&spec.reservation()), "within the room: {what}");
         }
-        let room = spec.room();
-        let ends = if spec.lasting {
+        let room = spec.reservation();
+        let ends = if spec.long_running {
             Duration::MAX
         } else {
             now + spec.estimate.mul_f64(slow * agent.slow * off)
@@ -1544,7 +1544,7 @@
             percent: 0,
             share: 100,
             best_effort: spec.best_effort,
-            serves: spec.tail.is_some(),
+            serves: spec.tail_latency.is_some(),
         };
         agent.running.insert(start.task, run);
         self.check_again(id, start);
@@ -1656,14 +1656,17 @@
     /// An order ends a task that is at work: within the budget of its step, if it lasts and its job
     /// goes on.
     fn spend(&mut self, task: TaskId) {
-        let job = self.ledger.job(task.step.job).filter(|job| !job.is_over());
+        let job = self
+            .ledger
+            .job(task.step.job)
+            .filter(|job| !job.has_ended());
         let spec = job.and_then(|job| job.spec.steps.get(usize::from(task.step.step)));
-        let Some(spec) = spec.filter(|spec| spec.lasting) else {
+        let Some(spec) = spec.filter(|spec| spec.long_running) else {
             return;
         };
         let away = self.taken.iter();
         let away = away.filter(|other| other.step == task.step && **other != task);
-        if away.count() >= usize::try_from(spec.budget.max(1)).unwrap() {
+        if away.count() >= usize::try_from(spec.disruption_budget.max(1)).unwrap() {
             self.overdrawn.push((task, self.now));
         }
         self.taken.insert(task);
@@ -1853,8 +1856,8 @@
 /// A step that lasts, its tasks on hosts of their own.
 pub(crate) fn lasting(tasks: u32, cores: u64) -> StepSpec {
     let mut step = step(tasks, cores, 900);
-    step.lasting = true;
+    step.long_running = true;
     step.per_host = Some(1);
-    step.budget = 1;
+    step.disruption_budget = 1;
     step
 }
