--- a/src/core/workload/command.rs
+++ b/src/core/workload/command.rs
@@ -10,10 +10,10 @@
 
 use super::{
     catalog::{CatalogVersion, JobId},
+    intents::OrderIntent,
     job::TaskId,
     spec::JobSpec,
     suspicion::Crash,
-    touched::OrderIntent,
 };
 use crate::core::{
     cluster::Cluster,
--- a/src/core/workload/touched.rs
+++ b/src/core/workload/intents.rs
@@ -14,7 +14,7 @@
 //! ```
 //! use std::time::Duration;
 //!
-//! use egretpin::core::workload::touched::{OrderIntent, OrderIntents};
+//! use egretpin::core::workload::intents::{OrderIntent, OrderIntents};
 //!
 //! let intent = |term, at, hosts: &[&str]| OrderIntent {
 //!     term,
--- a/src/core/workload/ledger.rs
+++ b/src/core/workload/ledger.rs
@@ -23,7 +23,7 @@
 //!     pool: "soil".into(),
 //!     workspace: None,
 //!     spec: JobSpec::new("water", vec![StepSpec::new(2, Duration::from_secs(1))]),
-//!     accepted: Duration::ZERO,
+//!     accepted_at: Duration::ZERO,
 //! }));
 //! assert_eq!(ledger.apply(1, &submit), [Change::Accepted(7)]);
 //! // A repeated submission changes nothing.
@@ -42,11 +42,11 @@
         AgentRecord, Command, Document, EndBatch, Ending, Placement, ReportedEnd, Round,
         Submission, WaveRecord,
     },
+    intents::OrderIntents,
     job::{Job, JobState, StepId, Task, TaskId},
-    odds::PoisonRate,
+    poison_rate::PoisonRate,
     spec::StepIx,
     suspicion::{Crash, Evidence, FailureRate},
-    touched::OrderIntents,
 };
 use crate::core::{
     cluster::Cluster,
--- a/src/core/workload/mod.rs
+++ b/src/core/workload/mod.rs
@@ -12,20 +12,20 @@
 //!   each task is placed, and which ends of attempts have been applied.
 //! - [`scheduler`] runs on the leader only. It decides which attempts to start and stop and which leases to
 //!   renew. Each new leader rebuilds it from the ledger.
-//! - [`suspicion`] weighs the evidence against tasks that may crash the hosts they run on, and [`odds`]
+//! - [`suspicion`] weighs the evidence against tasks that may crash the hosts they run on, and [`poison_rate`]
 //!   estimates how likely the next jobs of a queue do so.
-//! - [`touched`] records which hosts a leader is about to send orders about.
+//! - [`intents`] records which hosts a leader is about to send orders about.
 //!
 //! This module does no I/O. Its driver commits the [`Command`](command::Command)s that the scheduler proposes
 //! and carries out its [`Order`](scheduler::Order)s.
 
 pub mod catalog;
 pub mod command;
+pub mod intents;
 pub mod job;
 pub mod ledger;
-pub mod odds;
+pub mod poison_rate;
 pub mod scheduler;
 pub mod spec;
 pub mod suspicion;
-pub mod touched;
 pub mod workspace;
--- a/src/core/workload/odds.rs
+++ b/src/core/workload/poison_rate.rs
@@ -10,7 +10,7 @@
 //! none of it.
 //!
 //! ```
-//! use egretpin::core::workload::odds::PoisonRate;
+//! use egretpin::core::workload::poison_rate::PoisonRate;
 //!
 //! let mut rate = PoisonRate::default();
 //! assert_eq!(rate.max_per_host(), None);
--- a/src/core/workload/scheduler/storm.rs
+++ b/src/core/workload/scheduler/storm.rs
@@ -2,7 +2,7 @@
 //!
 //! Where a good part of a queue's new jobs is such, packing them costs a host for each crowd, and proves
 //! nothing against any of them. So jobs that nothing is known of share hosts as the queue's
-//! [`PoisonRate`](crate::core::workload::odds::PoisonRate) say, from alone to all together.
+//! [`PoisonRate`](crate::core::workload::poison_rate::PoisonRate) say, from alone to all together.
 //!
 //! A pool tries only so many jobs a second then. What comes beyond that isn't accepted to wait: it is
 //! refused at once, and its caller told when what waits before it will be through. How long that is follows from
--- a/src/core/workload/scheduler/touching.rs
+++ b/src/core/workload/scheduler/touching.rs
@@ -15,7 +15,7 @@
 use super::{Now, Round, Scheduler, hosts::Stage};
 use crate::core::{
     types::HostId,
-    workload::touched::{OrderIntent, OrderIntents},
+    workload::intents::{OrderIntent, OrderIntents},
 };
 
 /// How long an order may still be under way to the provider after the log said that it would go out:
--- a/tests/workload/touched.rs
+++ b/tests/workload/intents.rs
@@ -1,9 +1,9 @@
 //! Successive leaders: about which hosts a new leader must not send orders yet, and for how long.
 
 use egretpin::core::workload::{
+    intents::{OrderIntent, OrderIntents},
     scheduler::Protections,
     spec::JobSpec,
-    touched::{OrderIntent, OrderIntents},
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
