--- a/src/core/workload/ledger.rs
+++ b/src/core/workload/ledger.rs
@@ -1,8 +1,10 @@
-//! The replicated state machine of jobs.
+//! The replicated state machine of jobs and agents.
 //!
-//! Applying a [`Command`] is deterministic and decides nothing but races: a job's number that is
-//! taken, an older catalog, an end of an attempt that was superseded. It returns what changed, so
-//! that the leader's scheduler needs to look at nothing else.
+//! Each node applies the same log of [`Command`]s and reaches the same state. Applying a command is
+//! deterministic: it reads no clock and makes no scheduling decisions. It resolves only races between
+//! commands, such as a submission whose number is taken, a catalog older than the one in force, or the end of
+//! an attempt that has been superseded. It returns the list of [`Change`]s, which is all that the leader's
+//! scheduler needs to follow the state.
 //!
 //! ```
 //! use std::time::Duration;
@@ -21,10 +23,10 @@
 //!     pool: "soil".into(),
 //!     workspace: None,
 //!     spec: JobSpec::new("water", vec![StepSpec::new(2, Duration::from_secs(1))]),
-//!     accepted: Duration::ZERO,
+//!     accepted_at: Duration::ZERO,
 //! }));
 //! assert_eq!(ledger.apply(1, &submit), [Change::Accepted(7)]);
-//! // A resend is the same job.
+//! // A repeated submission changes nothing.
 //! assert!(ledger.apply(2, &submit).is_empty());
 //! assert_eq!(ledger.job(7).map(|job| job.state), Some(JobState::Queued));
 //! assert_eq!(ledger.pending("alerts"), 1);
@@ -37,13 +39,14 @@
 use super::{
     catalog::JobId,
     command::{
-        AgentRecord, Command, Document, End, Ending, Ends, Placed, Round, Submission, WaveRecord,
+        AgentRecord, Command, Document, EndBatch, Ending, Placement, ReportedEnd, Round,
+        Submission, WaveRecord,
     },
+    intents::OrderIntents,
     job::{Job, JobState, StepId, Task, TaskId},
-    odds::Odds,
+    poison_rate::PoisonRate,
     spec::StepIx,
-    suspicion::{Crash, Evidence, Seen},
-    touched::Touched,
+    suspicion::{Crash, Evidence, FailureRate},
 };
 use crate::core::{
     cluster::Cluster,
@@ -51,79 +54,81 @@
     types::{Attempt, HostId, MinionId, Name, Resources, Wall, WaveId, WorkspaceId},
 };
 
-/// How many of the incarnations that are over are remembered, the last ones. Each takes some 15 bytes
-/// of an image.
+/// The most terminated incarnations of agents that are remembered; the oldest are forgotten first. Each takes
+/// about 15 bytes of a snapshot.
 ///
-/// A heartbeat may come later than its sender's end by as long as a cut lasts. Where 500 hosts each
-/// lose an agent every ten seconds, these are the ends of 80 seconds. One that was forgotten does no
-/// harm by itself: whoever is heard for the first time has to answer at its address before anything
-/// hangs on it.
-const OVER: usize = 4096;
+/// A heartbeat may arrive after the end of its sender, by as long as a network partition lasts. If 500 hosts
+/// each lose an agent every ten seconds, this covers the last 80 seconds. Forgetting an incarnation does no
+/// harm by itself: an agent that is heard for the first time has to answer at its address before anything
+/// depends on it.
+const MAX_TERMINATED: usize = 4096;
 
-/// What a command changed.
+/// A change of the state, reported to the leader's scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Another catalog is in force.
     Declared,
     /// A job was accepted.
     Accepted(JobId),
-    /// A job is over; what is placed of it must be stopped.
-    Over(JobId),
-    /// All steps before a step are done.
-    Opened(StepId),
-    /// A task was given to an agent.
-    Placed(Placed),
-    /// An attempt doesn't run any more.
-    Vacated {
+    /// A job has ended; its attempts that are still placed must be stopped.
+    JobEnded(JobId),
+    /// All steps that a step depends on are done.
+    StepReady(StepId),
+    /// An attempt of a task was placed at an agent.
+    Placed(Placement),
+    /// An attempt isn't placed any more: it ended, or is certain not to run.
+    Unplaced {
         /// The attempt.
-        placed: Placed,
-        /// Whether the task needs another one.
-        again: bool,
+        placed: Placement,
+        /// Whether the task needs another attempt.
+        retry: bool,
     },
-    /// A task is done, whichever attempt did it: it never runs again.
+    /// A task is done, whichever attempt did it. It never runs again.
     Done {
         /// The task.
         task: TaskId,
-        /// Whether the attempt had been given up before.
-        late: bool,
+        /// Whether the attempt that did it had been abandoned or superseded before.
+        was_abandoned: bool,
     },
-    /// The task of a placed attempt was done by another one.
-    Superfluous(Placed),
-    /// All ends of an agent up to this one were taken in.
+    /// The task of a placed attempt was done by another attempt, so that this one isn't needed any more.
+    Redundant(Placement),
+    /// All ends that an agent reported, up to this one, have been applied.
     Acked {
         /// The agent.
         agent: MinionId,
         /// The number of the end.
         through: u64,
     },
-    /// A host has ended under a task, and nothing else is known to have ended it.
+    /// The evidence against a task: a host crashed under it, or under a batch task of its job, and no other
+    /// cause is known.
     Suspected(TaskId, Evidence),
-    /// A job has failed, since a task of it ends the hosts that run it.
-    Convicted(TaskId),
-    /// An agent is known, or known better.
+    /// A job has failed because of this poison task, which crashes the hosts it runs on.
+    PoisonTask(TaskId),
+    /// An agent was registered, or its record was updated.
     Agent(MinionId),
-    /// What is placed at an incarnation that was known by its agent's name is at this one: it is the same.
+    /// An incarnation that was recorded under its agent's name is now recorded under an id of its own. What
+    /// is placed there is unaffected.
     Renamed {
-        /// Before.
+        /// The name of the agent.
         from: MinionId,
-        /// From now on.
+        /// The id of the incarnation.
         to: MinionId,
     },
-    /// An agent is over.
-    Gone(MinionId),
-    /// A wave was taken on, or got on.
+    /// An incarnation of an agent has terminated.
+    Terminated(MinionId),
+    /// A wave of maintenance was added, or has fewer hosts left.
     Wave(WaveId),
 }
 
-/// An incarnation of an agent that is over, and the last of its heartbeats that was committed.
+/// A terminated incarnation of an agent, with the number of its last committed heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-struct Ended(MinionId, HeartbeatNumber);
+struct TerminatedAgent(MinionId, HeartbeatNumber);
 
-/// The number of a heartbeat among those of its incarnation.
+/// The number of a heartbeat of one incarnation.
 type HeartbeatNumber = u64;
 
-/// What is known of jobs and agents.
+/// The replicated state of jobs and agents.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ledger {
@@ -132,34 +137,35 @@
     jobs: BTreeMap<JobId, Job>,
     agents: BTreeMap<MinionId, AgentRecord>,
     waves: BTreeMap<WaveId, WaveRecord>,
-    /// Incarnations that are over, the last one last. Older images hold none.
-    #[serde(default)]
-    over: VecDeque<Ended>,
-    /// Hosts that leaders gave orders about lately. Older images hold none.
-    #[serde(default)]
-    touched: Touched,
-    /// How often hosts were seen to end by themselves. Older images hold none.
-    #[serde(default)]
-    seen: Seen,
-    /// How likely a job of each queue ends its hosts, if any did. Older images hold none.
-    #[serde(default)]
-    odds: BTreeMap<Name, Odds>,
-    /// The cluster that it is of. Older images hold none.
+    /// Terminated incarnations of agents, the latest last. Absent in snapshots of earlier releases.
+    #[serde(rename = "over", default)]
+    terminated: VecDeque<TerminatedAgent>,
+    /// The hosts that leaders have recently sent orders about. Absent in snapshots of earlier releases.
+    #[serde(rename = "touched", default)]
+    intents: OrderIntents,
+    /// How often hosts crash by themselves. Absent in snapshots of earlier releases.
+    #[serde(rename = "seen", default)]
+    failure_rate: FailureRate,
+    /// For each queue that has had a poison job, how likely its jobs are poison. Absent in snapshots of
+    /// earlier releases.
+    #[serde(rename = "odds", default)]
+    poison_rates: BTreeMap<Name, PoisonRate>,
+    /// The identity of the cluster. Absent in snapshots of earlier releases.
     #[serde(default)]
     cluster: Option<Cluster>,
-    /// Derived: jobs of each queue of which nothing has been started.
+    /// Derived: the number of queued jobs of each queue, those without any task placed so far.
     #[serde(skip)]
     pending: BTreeMap<Name, u64>,
-    /// Derived: what is placed at each agent.
+    /// Derived: the tasks that are placed at each agent.
     #[serde(skip)]
     placed: BTreeMap<MinionId, BTreeSet<TaskId>>,
-    /// Derived: what the tasks that are placed need, by the workspace that they are of.
+    /// Derived: for each workspace, the total resources of its placed tasks.
     #[serde(skip)]
     used: BTreeMap<WorkspaceId, Resources>,
 }
 
 impl Ledger {
-    /// Applies the command at an index of the log.
+    /// Applies the command at an index of the log, and returns what it changed.
     pub fn apply(&mut self, index: Index, command: &Command) -> Vec<Change> {
         self.applied = index;
         let mut changes = Vec::new();
@@ -167,122 +173,127 @@
             Command::Declare(document) => self.declare(document, &mut changes),
             Command::Submit(submission) => self.submit(submission, &mut changes),
             Command::Cancel(job) => self.end_job(*job, JobState::Cancelled, &mut changes),
-            Command::Agent(record) => self.know(record, &mut changes),
-            Command::Gone(agent) => self.bury(agent, &mut changes),
-            Command::Round(round) => self.round(round, &mut changes),
-            Command::Wave(wave) => self.wave(wave, &mut changes),
-            Command::Maintained { wave, hosts } => self.maintained(*wave, hosts, &mut changes),
+            Command::Agent(record) => self.register_agent(record, &mut changes),
+            Command::Terminated(agent) => self.remove_agent(agent, &mut changes),
+            Command::Round(round) => self.apply_round(round, &mut changes),
+            Command::Wave(wave) => self.add_wave(wave, &mut changes),
+            Command::Maintained { wave, hosts } => {
+                self.remove_from_wave(*wave, hosts, &mut changes)
+            }
             Command::Forget(jobs) => self.forget(jobs),
-            Command::Crashed(crash) => self.crash(crash, &mut changes),
-            Command::Found(cluster) => {
+            Command::Crashed(crash) => self.apply_crash(crash, &mut changes),
+            Command::SetCluster(cluster) => {
                 self.cluster.get_or_insert_with(|| cluster.clone());
             }
         }
         changes
     }
 
-    /// The index that was applied last.
+    /// The index of the last applied command.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// The cluster that it is of, once it has an id.
+    /// The identity of the cluster, once it is set.
     pub fn cluster(&self) -> Option<&Cluster> {
         self.cluster.as_ref()
     }
 
-    /// The catalog in force, as it was sent.
+    /// The catalog in force, as the operator sent it.
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
     }
 
-    /// A job that is known.
+    /// A job by its number.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// All jobs that are known, in order of their numbers.
+    /// All jobs, in order of their numbers.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// An agent that is known.
+    /// The record of an agent's incarnation.
     pub fn agent(&self, id: &MinionId) -> Option<&AgentRecord> {
         self.agents.get(id)
     }
 
-    /// All agents that are known, in order of their ids.
+    /// The records of all agents, in order of their ids.
     pub fn agents(&self) -> impl Iterator<Item = &AgentRecord> {
         self.agents.values()
     }
 
-    /// Whether an agent's heartbeat is of an incarnation that is remembered to be over, and no later
-    /// than what was heard of it before. One that was taken for gone and lives sends later ones; it
-    /// has to answer at its address like any newcomer.
-    pub fn is_over(&self, record: &AgentRecord) -> bool {
-        let ended = self.over.iter().find(|Ended(agent, _)| *agent == record.id);
-        ended.is_some_and(|Ended(_, last)| record.sequence <= *last)
+    /// Whether a heartbeat is stale: its incarnation is remembered as terminated, and the heartbeat is no later
+    /// than the last committed one. An incarnation that was declared terminated by mistake sends later
+    /// heartbeats; it has to answer at its address like a new agent.
+    pub fn is_stale(&self, record: &AgentRecord) -> bool {
+        let ended = self
+            .terminated
+            .iter()
+            .find(|TerminatedAgent(agent, _)| *agent == record.id);
+        ended.is_some_and(|TerminatedAgent(_, last)| record.sequence <= *last)
     }
 
-    /// What is placed at an agent.
+    /// The tasks that are placed at an agent.
     pub fn placed(&self, agent: &MinionId) -> impl Iterator<Item = TaskId> + '_ {
         self.placed.get(agent).into_iter().flatten().copied()
     }
 
-    /// How many jobs of a queue wait for their first task to be started.
+    /// The number of queued jobs of a queue, those without any task placed so far.
     pub fn pending(&self, queue: &str) -> u64 {
         self.pending.get(queue).copied().unwrap_or_default()
     }
 
-    /// A wave that is known.
+    /// A wave of maintenance by its number.
     pub fn wave_record(&self, wave: WaveId) -> Option<&WaveRecord> {
         self.waves.get(&wave)
     }
 
-    /// All waves that are known, in order of their numbers.
+    /// All waves of maintenance, in order of their numbers.
     pub fn waves(&self) -> impl Iterator<Item = &WaveRecord> {
         self.waves.values()
     }
 
-    /// Hosts that leaders may have given orders about lately.
-    pub fn touched(&self) -> &Touched {
-        &self.touched
+    /// The hosts that leaders may have recently sent orders about.
+    pub fn intents(&self) -> &OrderIntents {
+        &self.intents
     }
 
-    /// How often hosts were seen to end by themselves when the last one ended.
-    pub fn seen(&self) -> Seen {
-        self.seen
+    /// How often hosts crash by themselves, as of the last crash.
+    pub fn failure_rate(&self) -> FailureRate {
+        self.failure_rate
     }
 
-    /// How likely a job of a queue ends the hosts that run it.
-    pub fn odds(&self, queue: &str) -> Odds {
-        self.odds.get(queue).copied().unwrap_or_default()
+    /// How likely a job of a queue is poison: that it crashes the hosts it runs on.
+    pub fn poison_rate(&self, queue: &str) -> PoisonRate {
+        self.poison_rates.get(queue).copied().unwrap_or_default()
     }
 
-    /// Whether jobs of any queue do so.
-    pub fn has_odds(&self) -> bool {
-        self.odds.values().any(|odds| !odds.is_none())
+    /// Whether the jobs of any queue are poison with more than a negligible probability.
+    pub fn has_poison_queue(&self) -> bool {
+        self.poison_rates.values().any(|rate| !rate.is_negligible())
     }
 
-    /// The bytes of a snapshot.
-    pub fn image(&self) -> Payload {
+    /// Encodes a snapshot of the state.
+    pub fn snapshot(&self) -> Payload {
         let mut bytes = Vec::new();
-        ciborium::into_writer(self, &mut bytes).expect("a vector takes every write");
+        ciborium::into_writer(self, &mut bytes).expect("writing to a Vec never fails");
         bytes.into()
     }
 
-    /// Reads what [`Ledger::image`] wrote.
+    /// Restores the state from what [`Ledger::snapshot`] returned.
     ///
     /// # Errors
     ///
-    /// The bytes are of another release, or damaged.
-    pub fn from_image(bytes: &[u8]) -> Result<Self, ciborium::de::Error<std::io::Error>> {
+    /// The bytes were written by another release, or are damaged.
+    pub fn from_snapshot(bytes: &[u8]) -> Result<Self, ciborium::de::Error<std::io::Error>> {
         let mut ledger: Self = ciborium::from_reader(bytes)?;
-        ledger.index();
+        ledger.rebuild_indexes();
         Ok(ledger)
     }
 
-    fn index(&mut self) {
+    fn rebuild_indexes(&mut self) {
         for (id, job) in &self.jobs {
             if job.state == JobState::Queued {
                 *self.pending.entry(job.queue.clone()).or_default() += 1;
@@ -293,27 +304,27 @@
         }
         let placed: Vec<_> = self.placed.values().flatten().copied().collect();
         for task in placed {
-            self.count(task, Resources::plus);
+            self.adjust_usage(task, Resources::plus);
         }
     }
 
-    /// Counts a task for or against what its workspace uses.
-    fn count(&mut self, id: TaskId, change: impl Fn(&Resources, &Resources) -> Resources) {
-        let Some((workspace, need)) = self.claim(id) else {
+    /// Adds or subtracts the resources of a task in the usage of its workspace.
+    fn adjust_usage(&mut self, id: TaskId, change: impl Fn(&Resources, &Resources) -> Resources) {
+        let Some((workspace, need)) = self.workspace_need(id) else {
             return;
         };
         let used = self.used.entry(workspace).or_default();
         *used = change(used, &need);
     }
 
-    /// What a task takes of which workspace's cap.
-    fn claim(&self, id: TaskId) -> Option<(WorkspaceId, Resources)> {
+    /// The workspace that a task belongs to, and the resources that count against its cap.
+    fn workspace_need(&self, id: TaskId) -> Option<(WorkspaceId, Resources)> {
         let job = self.jobs.get(&id.step.job)?;
         let spec = job.spec.steps.get(usize::from(id.step.step))?;
         Some((job.workspace.clone()?, spec.need))
     }
 
-    /// What the tasks of a workspace need that run or may.
+    /// The total resources of a workspace's tasks that run or may run.
     pub fn used(&self, workspace: &str) -> Resources {
         self.used.get(workspace).copied().unwrap_or_default()
     }
@@ -336,7 +347,7 @@
             pool,
             workspace,
             spec,
-            accepted,
+            accepted_at: accepted,
             ..
         } = submission.clone();
         *self.pending.entry(queue.clone()).or_default() += 1;
@@ -346,7 +357,7 @@
         changes.push(Change::Accepted(id));
     }
 
-    fn know(&mut self, record: &AgentRecord, changes: &mut Vec<Change>) {
+    fn register_agent(&mut self, record: &AgentRecord, changes: &mut Vec<Change>) {
         let mut record = record.clone();
         if let Some(known) = self.agents.get(&record.id) {
             if record.sequence < known.sequence {
@@ -354,20 +365,21 @@
             }
             record.acked = known.acked;
             record.leaving |= known.leaving;
-        } else if self.is_over(&record) {
+        } else if self.is_stale(&record) {
             return;
         } else if let Some(known) = self.agents.get(record.name())
-            && record.is_later_of(known)
+            && record.replaces_legacy(known)
         {
-            return self.rename(record, changes);
+            return self.assign_id(record, changes);
         }
-        self.over.retain(|Ended(agent, _)| *agent != record.id);
+        self.terminated
+            .retain(|TerminatedAgent(agent, _)| *agent != record.id);
         changes.push(Change::Agent(record.id.clone()));
         self.agents.insert(record.id.clone(), record);
     }
 
-    /// Knows an incarnation, so far known by its agent's name, by an id of its own.
-    fn rename(&mut self, mut record: AgentRecord, changes: &mut Vec<Change>) {
+    /// Records an incarnation, which was recorded under its agent's name so far, under an id of its own.
+    fn assign_id(&mut self, mut record: AgentRecord, changes: &mut Vec<Change>) {
         let (from, to) = (record.name().clone(), record.id.clone());
         if let Some(known) = self.agents.remove(&from) {
             record.acked = known.acked;
@@ -384,85 +396,95 @@
         changes.push(Change::Renamed { from, to });
     }
 
-    fn bury(&mut self, agent: &MinionId, changes: &mut Vec<Change>) {
+    fn remove_agent(&mut self, agent: &MinionId, changes: &mut Vec<Change>) {
         let known = self.agents.get(agent);
-        // Its end may be heard before its first heartbeat.
-        if known.is_some() || self.over.iter().all(|Ended(over, _)| over != agent) {
+        // The end of an incarnation may be committed before its first heartbeat.
+        if known.is_some()
+            || self
+                .terminated
+                .iter()
+                .all(|TerminatedAgent(other, _)| other != agent)
+        {
             let last = known.map_or(0, |known| known.sequence);
-            self.over.push_back(Ended(agent.clone(), last));
+            self.terminated
+                .push_back(TerminatedAgent(agent.clone(), last));
         }
-        while self.over.len() > OVER {
-            self.over.pop_front();
+        while self.terminated.len() > MAX_TERMINATED {
+            self.terminated.pop_front();
         }
         if self.agents.remove(agent).is_none() {
             return;
         }
         for task in self.placed.remove(agent).unwrap_or_default() {
-            self.count(task, Resources::minus);
-            self.vacate(task, agent, changes);
+            self.adjust_usage(task, Resources::minus);
+            self.report_unplaced(task, agent, changes);
         }
-        changes.push(Change::Gone(agent.clone()));
+        changes.push(Change::Terminated(agent.clone()));
     }
 
-    fn crash(&mut self, crash: &Crash, changes: &mut Vec<Change>) {
-        self.seen = crash.seen;
+    fn apply_crash(&mut self, crash: &Crash, changes: &mut Vec<Change>) {
+        self.failure_rate = crash.failure_rate;
         let mut judged = BTreeSet::new();
         for present in &crash.tasks {
             let id = present.task;
             let job = self.jobs.get_mut(&id.step.job);
-            let Some(job) = job.filter(|job| !job.is_over()) else {
+            let Some(job) = job.filter(|job| !job.has_ended()) else {
                 continue;
             };
-            let stands = |task: &&mut Task| is_at(task, &crash.agent) && !task.done;
+            let stands = |task: &&mut Task| is_placed_at(task, &crash.agent) && !task.done;
             let Some(task) = job.task_mut(id).filter(stands) else {
                 continue;
             };
-            task.evidence.own.note(present.sudden, present.begun);
+            task.evidence
+                .own
+                .record(present.timing_weight, present.started);
             let mut evidence = task.evidence;
-            if !job.is_short(id) {
-                evidence.note(present.weight, present.worked);
+            if !job.is_batch(id) {
+                evidence.record(present.weight, present.run_time);
             } else {
-                // The short tasks of a job are alike, and this is one host.
+                // The batch tasks of a job are alike, so that a crash under several of them counts once.
                 if judged.insert(id.step.job) {
-                    job.evidence.note(present.weight, present.worked);
-                    let others = job.evidence(id.step.job).map(|(other, _)| other);
-                    let others = others.filter(|other| job.is_short(*other));
+                    job.evidence.record(present.weight, present.run_time);
+                    let others = job.task_evidence(id.step.job).map(|(other, _)| other);
+                    let others = others.filter(|other| job.is_batch(*other));
                     let others: Vec<_> = others.collect();
                     for other in others {
-                        job.hold(other, job.evidence, changes);
+                        job.set_evidence(other, job.evidence, changes);
                     }
                 }
                 evidence = job.evidence;
             }
-            job.hold(id, evidence, changes);
+            job.set_evidence(id, evidence, changes);
         }
-        self.bury(&crash.agent, changes);
+        self.remove_agent(&crash.agent, changes);
     }
 
-    fn round(&mut self, round: &Round, changes: &mut Vec<Change>) {
+    fn apply_round(&mut self, round: &Round, changes: &mut Vec<Change>) {
         for ends in &round.ends {
-            self.take_ends(ends, changes);
+            self.apply_ends(ends, changes);
         }
         for freed in &round.freed {
             let task = self.task(freed.task);
-            let stands = task.is_some_and(|t| is_at(t, &freed.agent) && t.attempt == freed.attempt);
+            let stands =
+                task.is_some_and(|t| is_placed_at(t, &freed.agent) && t.attempt == freed.attempt);
             if stands {
                 self.unplace(freed.task, &freed.agent);
-                self.vacate(freed.task, &freed.agent, changes);
+                self.report_unplaced(freed.task, &freed.agent, changes);
             }
         }
         for job in &round.failed {
             self.end_job(*job, JobState::Failed, changes);
         }
-        for task in &round.convicted {
-            self.convict(*task, changes);
+        for task in &round.poison_tasks {
+            self.fail_as_poison(*task, changes);
         }
-        for unbegun in &round.unbegun {
-            let task = self.task_mut(unbegun.task);
-            let stands =
-                |task: &&mut Task| is_at(task, &unbegun.agent) && task.attempt == unbegun.attempt;
+        for start in &round.not_started {
+            let task = self.task_mut(start.task);
+            let stands = |task: &&mut Task| {
+                is_placed_at(task, &start.agent) && task.attempt == start.attempt
+            };
             if let Some(task) = task.filter(stands) {
-                task.unbegun = true;
+                task.not_started = true;
             }
         }
         for id in &round.cleared {
@@ -471,14 +493,14 @@
             }
         }
         for start in &round.starts {
-            self.place(start, round.at, changes);
+            self.apply_start(start, round.at, changes);
         }
-        if let Some(touch) = &round.touch {
-            self.touched.apply(touch);
+        if let Some(intent) = &round.intent {
+            self.intents.apply(intent);
         }
     }
 
-    fn take_ends(&mut self, ends: &Ends, changes: &mut Vec<Change>) {
+    fn apply_ends(&mut self, ends: &EndBatch, changes: &mut Vec<Change>) {
         let Some(agent) = self.agents.get_mut(&ends.agent) else {
             return;
         };
@@ -487,7 +509,7 @@
         }
         agent.acked = ends.through;
         for end in &ends.ends {
-            self.take_end(&ends.agent, end, changes);
+            self.apply_end(&ends.agent, end, changes);
         }
         changes.push(Change::Acked {
             agent: ends.agent.clone(),
@@ -495,14 +517,14 @@
         });
     }
 
-    /// Takes in an end that an agent listed.
+    /// Applies the end of an attempt that an agent reported.
     ///
-    /// It is of an attempt that is placed there, or at an earlier incarnation: orders name the agent, so that
-    /// the next one may have carried it out.
-    fn take_end(&mut self, agent: &MinionId, end: &End, changes: &mut Vec<Change>) {
+    /// The attempt is placed at this incarnation or at an earlier one of the same agent. Orders address the
+    /// agent by name, so that a later incarnation may have carried out an order to an earlier one.
+    fn apply_end(&mut self, agent: &MinionId, end: &ReportedEnd, changes: &mut Vec<Change>) {
         let holder = self.task(end.task).filter(|t| t.attempt == end.attempt);
         let holder = holder.and_then(|task| task.agent.clone());
-        let holder = holder.filter(|holder| self.are_one_agent(holder, agent));
+        let holder = holder.filter(|holder| self.is_same_agent(holder, agent));
         let Some(task) = self.task_mut(end.task) else {
             return;
         };
@@ -513,25 +535,25 @@
             }
         }
         if end.how == Ending::Done {
-            self.done(end.task, end.attempt, changes);
+            self.complete_task(end.task, end.attempt, changes);
         }
         if let Some(holder) = holder {
             self.unplace(end.task, &holder);
-            self.vacate(end.task, &holder, changes);
+            self.report_unplaced(end.task, &holder, changes);
         }
     }
 
-    /// Whether two incarnations are of one agent.
-    fn are_one_agent(&self, one: &MinionId, other: &MinionId) -> bool {
+    /// Whether two incarnations belong to the same agent.
+    fn is_same_agent(&self, one: &MinionId, other: &MinionId) -> bool {
         let name = |id| self.agents.get(id).map(AgentRecord::name);
         one == other || name(one).is_some_and(|one| Some(one) == name(other))
     }
 
-    /// A task is done, whichever attempt did it; with it its whole gang.
+    /// Marks a task as done, whichever attempt did it, and with it all tasks of its gang.
     ///
-    /// An attempt that was given up when its agent's lease ran out may turn out to have been done
-    /// before; the one that was placed since isn't needed then.
-    fn done(&mut self, id: TaskId, attempt: Attempt, changes: &mut Vec<Change>) {
+    /// An attempt that was abandoned when its agent's lease expired may turn out to have completed before
+    /// that. The attempt that was placed since then is redundant.
+    fn complete_task(&mut self, id: TaskId, attempt: Attempt, changes: &mut Vec<Change>) {
         let StepId {
             job, occurrence, ..
         } = id.step;
@@ -542,8 +564,8 @@
         let Some(spec) = found.spec.steps.get(step).cloned() else {
             return;
         };
-        // What lasts is never done; an agent that says so lets it be started again.
-        if spec.lasting {
+        // A long-running task is never done. If its agent reports it as done, it is started again.
+        if spec.long_running {
             return;
         }
         let Some(run) = found.runs.get_mut(&occurrence) else {
@@ -558,10 +580,13 @@
             newly += 1;
             let other = TaskId { task: ix, ..id };
             let same = task.attempt == attempt;
-            let late = !same || task.agent.is_none();
-            changes.push(Change::Done { task: other, late });
+            let was_abandoned = !same || task.agent.is_none();
+            changes.push(Change::Done {
+                task: other,
+                was_abandoned,
+            });
             if let Some(agent) = task.agent.clone().filter(|_| !same) {
-                changes.push(Change::Superfluous(Placed {
+                changes.push(Change::Redundant(Placement {
                     task: other,
                     attempt: task.attempt,
                     agent,
@@ -569,8 +594,8 @@
             }
         }
         run.steps[step].done += newly;
-        found.acquit(job);
-        let over = found.is_over();
+        found.clear_evidence(job);
+        let over = found.has_ended();
         let Some(run) = found.runs.get(&occurrence) else {
             return;
         };
@@ -579,9 +604,9 @@
         }
         for (ix, later) in found.spec.steps.iter().enumerate() {
             let follows = later.after.iter().any(|&b| usize::from(b) == step);
-            // Nothing follows in a job that was cancelled or has failed.
-            if !over && follows && later.after.iter().all(|&b| run.is_done(b)) {
-                changes.push(Change::Opened(StepId {
+            // In a job that was cancelled or has failed, no further step becomes ready.
+            if !over && follows && later.after.iter().all(|&b| run.is_step_done(b)) {
+                changes.push(Change::StepReady(StepId {
                     job,
                     occurrence,
                     step: StepIx::try_from(ix).unwrap_or(StepIx::MAX),
@@ -596,14 +621,14 @@
         }
     }
 
-    fn place(&mut self, start: &Placed, at: Wall, changes: &mut Vec<Change>) {
+    fn apply_start(&mut self, start: &Placement, at: Wall, changes: &mut Vec<Change>) {
         if !self.agents.contains_key(&start.agent) {
             return;
         }
         let Some(job) = self.jobs.get_mut(&start.task.step.job) else {
             return;
         };
-        if job.is_over() {
+        if job.has_ended() {
             return;
         }
         let first = job.state == JobState::Queued;
@@ -620,19 +645,19 @@
         }
         let before = task.agent.replace(start.agent.clone());
         task.attempt = start.attempt;
-        task.began = (!at.is_zero()).then_some(at);
-        task.unbegun = false;
+        task.started_at = (!at.is_zero()).then_some(at);
+        task.not_started = false;
         if first {
             job.state = JobState::Running;
             let queue = job.queue.clone();
-            self.begun(&queue);
+            self.decrement_pending(&queue);
         }
         if let Some(before) = before {
             self.unindex(start.task, &before);
         }
         let placed = self.placed.entry(start.agent.clone()).or_default();
         if placed.insert(start.task) {
-            self.count(start.task, Resources::plus);
+            self.adjust_usage(start.task, Resources::plus);
         }
         changes.push(Change::Placed(start.clone()));
     }
@@ -641,45 +666,48 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.is_over() {
+        if job.has_ended() {
             return;
         }
         let queued = job.state == JobState::Queued;
         job.state = state;
         let queue = job.queue.clone();
         if state == JobState::Completed
-            && let Some(odds) = self.odds.get_mut(&queue)
+            && let Some(rate) = self.poison_rates.get_mut(&queue)
         {
-            odds.note(false);
+            rate.record(false);
         }
         if queued {
-            self.begun(&queue);
+            self.decrement_pending(&queue);
         }
-        changes.push(Change::Over(id));
-        self.slim(id);
+        changes.push(Change::JobEnded(id));
+        self.drop_tasks(id);
     }
 
-    fn convict(&mut self, task: TaskId, changes: &mut Vec<Change>) {
+    fn fail_as_poison(&mut self, task: TaskId, changes: &mut Vec<Change>) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
             return;
         };
-        if !job.is_over() {
-            job.convicted = Some(task);
-            if job.is_short(task) {
-                self.odds.entry(job.queue.clone()).or_default().note(true);
+        if !job.has_ended() {
+            job.poison_task = Some(task);
+            if job.is_batch(task) {
+                self.poison_rates
+                    .entry(job.queue.clone())
+                    .or_default()
+                    .record(true);
             }
-            changes.push(Change::Convicted(task));
+            changes.push(Change::PoisonTask(task));
             self.end_job(task.step.job, JobState::Failed, changes);
         }
     }
 
-    fn begun(&mut self, queue: &Name) {
+    fn decrement_pending(&mut self, queue: &Name) {
         if let Some(count) = self.pending.get_mut(queue) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Takes a task from an agent in the indexes and in its job.
+    /// Removes the placement of a task at an agent, from the indexes and from the job.
     fn unplace(&mut self, id: TaskId, agent: &MinionId) {
         self.unindex(id, agent);
         if let Some(task) = self.task_mut(id) {
@@ -690,38 +718,39 @@
     fn unindex(&mut self, id: TaskId, agent: &MinionId) {
         let placed = self.placed.get_mut(agent);
         if placed.is_some_and(|placed| placed.remove(&id)) {
-            self.count(id, Resources::minus);
+            self.adjust_usage(id, Resources::minus);
         }
     }
 
-    /// Says that an attempt doesn't run any more.
-    fn vacate(&mut self, id: TaskId, agent: &MinionId, changes: &mut Vec<Change>) {
+    /// Reports that an attempt isn't placed any more, after clearing its placement in the job.
+    fn report_unplaced(&mut self, id: TaskId, agent: &MinionId, changes: &mut Vec<Change>) {
         let Some(job) = self.jobs.get(&id.step.job) else {
             return;
         };
-        let over = job.is_over();
+        let over = job.has_ended();
         let Some(task) = self.task_mut(id) else {
             return;
         };
         task.agent = None;
-        let placed = Placed {
+        let placed = Placement {
             task: id,
             attempt: task.attempt,
             agent: agent.clone(),
         };
-        let again = !over && !task.done;
-        changes.push(Change::Vacated { placed, again });
-        self.slim(id.step.job);
+        let retry = !over && !task.done;
+        changes.push(Change::Unplaced { placed, retry });
+        self.drop_tasks(id.step.job);
     }
 
-    /// Drops what a job doesn't need any more: the tasks of what is over, unless some may still run.
-    fn slim(&mut self, id: JobId) {
+    /// Drops the steps of a job's finished occurrences, or of all occurrences if the job has ended. An
+    /// occurrence with a task that may still run keeps its steps.
+    fn drop_tasks(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let over = job.is_over();
+        let over = job.has_ended();
         for run in job.runs.values_mut() {
-            if (over || run.is_finished()) && run.is_vacant() {
+            if (over || run.is_finished()) && run.is_unplaced() {
                 run.steps = Vec::new();
             }
         }
@@ -735,16 +764,16 @@
         self.jobs.get_mut(&id.step.job)?.task_mut(id)
     }
 
-    fn wave(&mut self, wave: &WaveRecord, changes: &mut Vec<Change>) {
+    fn add_wave(&mut self, wave: &WaveRecord, changes: &mut Vec<Change>) {
         if let Entry::Vacant(place) = self.waves.entry(wave.wave) {
             place.insert(wave.clone());
             changes.push(Change::Wave(wave.wave));
         }
     }
 
-    fn maintained(&mut self, wave: WaveId, hosts: &[HostId], changes: &mut Vec<Change>) {
+    fn remove_from_wave(&mut self, wave: WaveId, hosts: &[HostId], changes: &mut Vec<Change>) {
         if let Some(record) = self.waves.get_mut(&wave) {
-            record.left.retain(|host| !hosts.contains(host));
+            record.remaining.retain(|host| !hosts.contains(host));
             changes.push(Change::Wave(wave));
         }
     }
@@ -754,7 +783,7 @@
             let over = self
                 .jobs
                 .get(id)
-                .is_some_and(|job| job.is_over() && job.placements(*id).next().is_none());
+                .is_some_and(|job| job.has_ended() && job.placements(*id).next().is_none());
             if over {
                 self.jobs.remove(id);
             }
@@ -763,8 +792,8 @@
 }
 
 impl Job {
-    /// Holds this against a task, besides the hosts that ended under itself.
-    fn hold(&mut self, id: TaskId, evidence: Evidence, changes: &mut Vec<Change>) {
+    /// Replaces the evidence against a task, except for that of crashes under the task itself.
+    fn set_evidence(&mut self, id: TaskId, evidence: Evidence, changes: &mut Vec<Change>) {
         if let Some(task) = self.task_mut(id) {
             let own = task.evidence.own;
             task.evidence = Evidence { own, ..evidence };
@@ -773,6 +802,6 @@
     }
 }
 
-fn is_at(task: &Task, agent: &MinionId) -> bool {
+fn is_placed_at(task: &Task, agent: &MinionId) -> bool {
     task.agent.as_ref() == Some(agent)
 }
--- a/tests/workload/catalog.rs
+++ b/tests/workload/catalog.rs
@@ -1,8 +1,8 @@
-//! Queues and pools as operators declare them.
+//! Lookups in a catalog of queues and pools, and its validation.
 
 use std::time::Duration;
 
-use egretpin::core::workload::catalog::{Catalog, CatalogError, Place, PoolSpec, QueueSpec};
+use egretpin::core::workload::catalog::{Catalog, CatalogError, PathTarget, PoolSpec, QueueSpec};
 
 fn queue(name: &str, host: &str, prefix: &str) -> QueueSpec {
     QueueSpec {
@@ -45,40 +45,40 @@
 #[test]
 fn a_job_is_sixteen_hexadecimal_digits() {
     let catalog = catalog(vec![queue("q", "a", "/q/")]);
-    let place = |path| catalog.find("a", path).map(|(_, place)| place);
-    assert_eq!(place("/q/00000000000000ff"), Some(Place::Job(255)));
-    assert_eq!(place("/q/"), Some(Place::Queue));
+    let target = |path| catalog.find("a", path).map(|(_, target)| target);
+    assert_eq!(target("/q/00000000000000ff"), Some(PathTarget::Job(255)));
+    assert_eq!(target("/q/"), Some(PathTarget::Queue));
     for path in [
         "/q/ff",
         "/q/00000000000000fg",
         "/q/+0000000000000ff",
         "/q/0/0",
     ] {
-        assert_eq!(place(path), Some(Place::Nothing), "{path}");
+        assert_eq!(target(path), Some(PathTarget::Nothing), "{path}");
     }
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_what_is_wrong() {
     let check = |queues| catalog(queues).check();
-    let same = vec![queue("a", "h", "/p/"), queue("b", "h", "/p/")];
+    let same_prefix = vec![queue("a", "h", "/p/"), queue("b", "h", "/p/")];
     assert_eq!(
-        check(same).map_err(|e| e.to_string()),
+        check(same_prefix).map_err(|e| e.to_string()),
         Err("queues a and b share host h and prefix /p/".to_owned())
     );
-    let mut lost = queue("a", "h", "/p/");
-    lost.pool = "nowhere".into();
+    let mut unknown_pool = queue("a", "h", "/p/");
+    unknown_pool.pool = "nowhere".into();
     assert_eq!(
-        check(vec![lost]),
+        check(vec![unknown_pool]),
         Err(CatalogError::UnknownPool {
             queue: "a".into(),
             pool: "nowhere".into()
         })
     );
-    let mut hasty = queue("a", "h", "/p/");
-    hasty.timeout = Duration::ZERO;
+    let mut no_timeout = queue("a", "h", "/p/");
+    no_timeout.timeout = Duration::ZERO;
     assert_eq!(
-        check(vec![hasty]),
+        check(vec![no_timeout]),
         Err(CatalogError::NoTimeout { queue: "a".into() })
     );
     assert_eq!(
--- a/tests/workload/spec.rs
+++ b/tests/workload/spec.rs
@@ -1,8 +1,8 @@
-//! What a job may ask for.
+//! Validation of job specifications, and their critical path.
 
 use std::time::Duration;
 
-use egretpin::core::workload::spec::{JobSpec, MOST_TASKS, SpecError, StepSpec};
+use egretpin::core::workload::spec::{JobSpec, MAX_TASKS, SpecError, StepSpec};
 
 fn step(after: &[u16], millis: u64) -> StepSpec {
     let mut step = StepSpec::new(1, Duration::from_millis(millis));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_can_never_run_is_refused() {
+fn a_job_that_can_never_run_is_rejected() {
     assert_eq!(
         JobSpec::new("x", Vec::new()).check(),
         Err(SpecError::Steps { count: 0 })
@@ -29,7 +29,7 @@
         JobSpec::new("x", vec![none]).check(),
         Err(SpecError::NoTasks { step: 0 })
     );
-    let many = StepSpec::new(MOST_TASKS, Duration::ZERO);
+    let many = StepSpec::new(MAX_TASKS, Duration::ZERO);
     let job = JobSpec::new("x", vec![many.clone(), many]);
     assert_eq!(job.check(), Err(SpecError::Tasks));
     let job = JobSpec::new(&"x".repeat(4001), vec![step(&[], 1)]);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_chain_is_the_longest_way_through_the_steps() {
+fn the_critical_path_is_the_longest_chain_of_steps() {
     let steps = vec![
         step(&[], 100),
         step(&[], 700),
@@ -45,11 +45,11 @@
         step(&[1, 2], 50),
     ];
     let job = JobSpec::new("x", steps);
-    assert_eq!(job.chain(), Duration::from_millis(750));
-    let left: Vec<_> = job
+    assert_eq!(job.critical_path(), Duration::from_millis(750));
+    let remaining_millis: Vec<_> = job
         .remaining(|step| step.estimate)
         .iter()
         .map(Duration::as_millis)
         .collect();
-    assert_eq!(left, [450, 750, 350, 50]);
+    assert_eq!(remaining_millis, [450, 750, 350, 50]);
 }
