--- a/src/core/consensus/config.rs
+++ b/src/core/consensus/config.rs
@@ -1,4 +1,4 @@
-//! How one node is set up.
+//! The settings of one node.
 
 use std::{
     hash::{Hash, Hasher},
@@ -10,23 +10,25 @@
 use super::seam::{Index, Place};
 use crate::core::types::{DataCentreId, NodeId};
 
-/// Test-only switches that each take one protection away, so that a test can show that the check
-/// of a property would notice. Leave them all on.
+/// Test-only switches, each of which turns one protection off, so that a test can show that the
+/// check of a property detects its absence. Leave all of them on in production.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Protections {
-    /// Answers wait until what they promise is on disk.
+    /// Replies wait until what they promise is on disk.
     pub sync: bool,
     /// Votes and terms are written to disk.
     pub ballot: bool,
     /// A campaign starts with a pre-vote.
     pub pre_vote: bool,
-    /// Voters that heard a leader lately refuse to vote, and a leader unheard steps down.
+    /// Voters that recently received from a leader refuse to vote, and a leader that no quorum
+    /// answers steps down.
     pub lease: bool,
-    /// Only entries of the leader's own term are committed by counting.
+    /// Only entries of the leader's own term are committed by counting replicas.
     pub own_term: bool,
-    /// A disk that came up empty under an old voter's id never votes.
+    /// A node that starts with an empty disk under the id of an existing voter never votes.
     pub standing: bool,
-    /// Only one voter is added or removed at once, and only after the last change committed.
+    /// Only one voter is added or removed at a time, and only after the previous change is
+    /// committed.
     pub single_step: bool,
     /// A leader that hands over gives up its lease first.
     pub recall: bool,
@@ -85,7 +87,7 @@
 }
 
 impl Config {
-    /// A node with a disk that joins as a follower and may become a voter later.
+    /// A node with a disk that joins as a learner and may become a voter later.
     pub fn new(id: NodeId, rng: Pcg64) -> Self {
         Self {
             id,
@@ -112,23 +114,24 @@
         self.id
     }
 
-    /// The first voters of a new cluster. It counts on an empty disk only. Give it on the first
-    /// start of a first voter and never again: an empty disk that is started without it can't
-    /// vote under an id that was a voter before.
+    /// Sets the first voters of a new cluster. This takes effect on an empty disk only. Set it on
+    /// the first start of a first voter and never again: a node that starts with an empty disk and
+    /// without it can't vote under an id that was a voter before.
     #[must_use]
     pub fn bootstrap(mut self, voters: Vec<NodeId>) -> Self {
         self.bootstrap = Some(voters);
         self
     }
 
-    /// Whether the node keeps what it writes. Without a disk it never votes.
+    /// Sets whether the node has a disk that keeps what it writes. A node without a disk never
+    /// votes.
     #[must_use]
     pub fn disk(mut self, disk: bool) -> Self {
         self.disk = disk;
         self
     }
 
-    /// Adds a node to the directory that followers choose their relay from.
+    /// Adds a node to the directory from which learners choose their relay.
     #[must_use]
     pub fn place(mut self, node: NodeId, data_centre: impl Into<DataCentreId>) -> Self {
         let data_centre = data_centre.into();
@@ -136,8 +139,9 @@
         self
     }
 
-    /// How long a voter waits for a leader before it campaigns: drawn anew each time from this
-    /// range. The lower end must be above the lease by more than clocks can drift in that time.
+    /// Sets the range from which a voter draws, each time anew, how long it waits for a leader
+    /// before it campaigns. The lower end must exceed the lease by more than clocks can drift apart
+    /// in that time.
     #[must_use]
     pub fn election(mut self, min: Duration, max: Duration) -> Self {
         self.election_min = min;
@@ -145,30 +149,33 @@
         self
     }
 
-    /// How often a leader is heard when it has nothing to say.
+    /// Sets how often a leader sends a message when it has no entries to send.
     #[must_use]
     pub fn heartbeat(mut self, heartbeat: Duration) -> Self {
         self.heartbeat = heartbeat;
         self
     }
 
-    /// How long a leader trusts a quorum's answer, counted from when it asked. At most nine tenths
-    /// of the shortest election wait; more is cut to that.
+    /// Sets how long a leader relies on a quorum's answer, counted from when the leader sent what
+    /// was answered. The maximum is nine tenths of the shortest election timeout; a longer lease is
+    /// cut to that.
     #[must_use]
     pub fn lease(mut self, lease: Duration) -> Self {
         self.lease = lease;
         self
     }
 
-    /// How long a follower waits for its relay before it turns to the next one. It subscribes again
-    /// four times in this time, which is most of an idle follower's traffic.
+    /// Sets how long a learner waits for its relay before it switches to the next one. A learner
+    /// renews its subscription four times in this time, which makes up most of its traffic while
+    /// idle.
     #[must_use]
     pub fn feed_timeout(mut self, timeout: Duration) -> Self {
         self.feed_timeout = timeout;
         self
     }
 
-    /// The most entries and bytes of one message or one write. One entry always goes.
+    /// Sets the most entries and bytes of one message or one write. One entry is always sent,
+    /// whatever its size.
     #[must_use]
     pub fn batch(mut self, entries: usize, bytes: usize) -> Self {
         self.batch_entries = entries;
@@ -176,28 +183,29 @@
         self
     }
 
-    /// How many messages with entries may be under way to one node.
+    /// Sets how many messages with entries may be in flight to one node.
     #[must_use]
     pub fn pipeline(mut self, messages: usize) -> Self {
         self.pipeline = messages;
         self
     }
 
-    /// How many entries may wait to be committed before a leader refuses more, naming itself.
+    /// Sets how many entries may wait to be committed before a leader rejects more, naming itself
+    /// as the leader.
     #[must_use]
     pub fn backlog(mut self, entries: u64) -> Self {
         self.backlog = entries;
         self
     }
 
-    /// The most bytes of a snapshot in one message.
+    /// Sets the most bytes of a snapshot in one message.
     #[must_use]
     pub fn chunk(mut self, bytes: usize) -> Self {
         self.chunk = bytes;
         self
     }
 
-    /// Test-only: which protections are on.
+    /// Test-only: sets which protections are on.
     #[must_use]
     pub fn protections(mut self, protections: Protections) -> Self {
         self.protections = protections;
@@ -205,8 +213,9 @@
     }
 }
 
-/// Nodes of one model differ in their settings by id and generator alone, and a generator's state
-/// follows from how often it was drawn from.
+/// Compares the settings in which two nodes of one model can differ: the id, the generator, and the
+/// directory, which [`Input::Nodes`](super::Input::Nodes) replaces. A generator's state follows
+/// from how often it was drawn from.
 impl PartialEq for Config {
     fn eq(&self, other: &Self) -> bool {
         self.id == other.id && self.rng == other.rng && self.places == other.places
--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -1,4 +1,10 @@
-//! Elections: pre-votes, votes, and the promise to a leader lately heard.
+//! Elections: pre-votes, votes, and the promise that a voter makes to a leader.
+//!
+//! A voter that receives nothing from a leader for its election timeout campaigns: it asks the
+//! others whether they would vote for it, and only if a majority would, it enters the next term and
+//! asks for their votes. A voter grants one vote a term, to a candidate whose log is at least as
+//! advanced as its own. It grants none while it has recently received from a leader, unless that
+//! leader itself asked for the election. A leader's lease rests on this promise.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +17,8 @@
 use crate::core::types::NodeId;
 
 impl Node {
-    /// No leader was heard for long enough: ask for votes, or first whether they would come.
+    /// Starts a campaign because nothing arrived from a leader for long enough. Asks for pre-votes
+    /// first, unless these are off.
     pub(super) fn campaign(&mut self) {
         self.leader = None;
         self.postpone();
@@ -39,9 +46,9 @@
         }
     }
 
-    /// Campaigns in the next term. The requests wait until the candidate's own vote is on disk: a
-    /// candidate that forgot it could ask again in the same term with a shorter log, and count
-    /// votes given to the longer one.
+    /// Campaigns in the next term. The requests wait until the candidate's own vote is on disk. A
+    /// candidate that lost its vote in a crash could campaign again in the same term with a shorter
+    /// log, and count votes that were given to the longer one.
     pub(super) fn ask_votes(&mut self, handover: bool) {
         let write = self.set_term(self.term + 1, Some(self.config.id));
         self.leader = None;
@@ -172,13 +179,14 @@
         self.push(Content::Noop);
     }
 
-    /// Whether this node votes at all. One that isn't in its own list of voters does too: it may
-    /// have been added by an entry that it hasn't got yet, and be needed for the majority.
+    /// Whether this node votes at all. A node that isn't in its own list of voters votes, too: it
+    /// may have been added by an entry that it doesn't have yet, and its vote may be needed for the
+    /// majority.
     fn may_vote(&self) -> bool {
         self.standing == Standing::Member
     }
 
-    /// Whether a leader may count on this node not to vote for another.
+    /// Whether a leader may rely on this node not to vote for another candidate.
     fn has_promise(&self) -> bool {
         if !self.config.protections.lease {
             return false;
@@ -194,7 +202,8 @@
         self.leader.is_none() && !self.is_leader()
     }
 
-    /// The leader hands over. Its lease ended when it asked, so votes may be given at once.
+    /// Campaigns at the leader's request. The leader's lease ended when it sent the request, so
+    /// votes may be granted at once.
     pub(super) fn take_over(&mut self, from: NodeId, term: Term) {
         let from_leader = self.leader == Some(from) || self.leader.is_none();
         let able = self.is_voter() && !self.retiring;
--- a/src/core/consensus/feed.rs
+++ b/src/core/consensus/feed.rs
@@ -1,9 +1,10 @@
-//! Followers: committed entries reach the nodes that don't vote, through one relay a data centre.
+//! Learners: committed entries reach the nodes that don't vote, through one relay per data centre.
 //!
-//! A follower subscribes to one source and says so again a few times in each feed timeout; the source pushes
-//! what is committed as soon as it knows. Whoever has committed entries may feed: a voter, or a
-//! follower that relays. Every feed tells how old its sender's own knowledge of a leader is, so a
-//! chain of relays never looks fresher than it is.
+//! A learner subscribes to one source and renews the subscription a few times in each feed timeout.
+//! The source pushes committed entries as soon as it knows of them. Any node that has committed
+//! entries may feed others: a voter, or a learner that acts as a relay. Every feed states how long
+//! ago its sender itself was in touch with a leader, so a chain of relays never looks fresher than
+//! it is.
 
 use std::collections::BTreeMap;
 
@@ -16,15 +17,15 @@
 };
 use crate::core::types::{NodeId, Now};
 
-/// How many times a follower subscribes in a feed timeout.
+/// How many times a learner subscribes in a feed timeout.
 const KEEPALIVES: u32 = 4;
-/// How many feed timeouts a subscription lives.
+/// For how many feed timeouts a subscription lasts.
 const SUBSCRIPTION: u32 = 2;
-/// How many of the longest waits a voter does without a leader before it asks to be fed: it may
-/// have been removed without hearing so.
+/// For how many of the longest election timeouts a voter waits without a leader before it asks to
+/// be fed: it may have been removed without having received the change.
 const LEADERLESS: u32 = 2;
 
-/// One that is fed.
+/// A node that this one feeds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Subscriber {
     next: Index,
@@ -33,12 +34,12 @@
     transfer: Option<Transfer>,
 }
 
-/// Both ends of feeding.
+/// The state of both ends of feeding: the source of this node, and the nodes that it feeds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Feed {
     pub(super) started: Now,
     pub(super) source: Option<NodeId>,
-    /// Sources that have been asked and not answered yet, and since when.
+    /// Nodes that were asked to be the source and haven't answered yet, and since when.
     pub(super) trials: BTreeMap<NodeId, Now>,
     /// When the source last showed that it is in touch with a leader.
     pub(super) fresh: Now,
@@ -107,8 +108,9 @@
         !self.is_voter() || (self.leader.is_none() && self.now > heard + patience)
     }
 
-    /// A follower that nobody feeds knows of no leader. One that went on naming the last would be
-    /// taken for connected, and what is asked of it would wait for an answer that can't come.
+    /// Clears a learner's leader once no source feeds the learner. If it went on naming the last
+    /// one, callers would take it for connected, and their requests would wait for an answer that
+    /// can't come.
     fn forget_leader(&mut self) {
         let patience = self.config.feed_timeout;
         let heard = self.heard.is_some_and(|heard| self.now < heard + patience);
@@ -123,7 +125,7 @@
         self.feed.subscribers.retain(|_, s| now < s.seen + ttl);
     }
 
-    /// Somebody asks to be fed.
+    /// Handles a node's request to be fed.
     pub(super) fn subscribe(&mut self, from: NodeId, last: Index, sent: Now) {
         let (next, seen) = (last + 1, self.now);
         let old = self.feed.subscribers.remove(&from);
@@ -139,7 +141,7 @@
         self.feed_chunk(from);
     }
 
-    /// Tells subscribers what has been committed since.
+    /// Sends subscribers what has been committed since their last feed.
     pub(super) fn push_feeds(&mut self) {
         let behind = |s: &&Subscriber| s.next <= self.committed && s.transfer.is_none();
         let subscribers = self.feed.subscribers.iter();
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Sends one feed; whether it brought the subscriber on without reaching the end.
+    /// Sends one feed. Returns whether it brought entries and more are left to send.
     fn send_feed(&mut self, to: NodeId) -> bool {
         let lag = self.lag();
         let committed = self.committed;
@@ -160,7 +162,7 @@
         let Some(subscriber) = self.feed.subscribers.get_mut(&to) else {
             return false;
         };
-        // Behind the log's start this names the voters and brings no entries; a snapshot follows.
+        // Behind the log's start this feed names the voters and has no entries; a snapshot follows.
         let prev = subscriber.next - 1;
         let entries = self.log.batch(subscriber.next, committed, count, bytes);
         if entries.is_empty() && subscriber.next <= committed && subscriber.transfer.is_none() {
@@ -218,14 +220,14 @@
         }
     }
 
-    /// How old this node's knowledge of a leader is. All the time there was, if it has none.
+    /// How long ago this node was last in touch with a leader; the maximum if it never was.
     fn lag(&self) -> Now {
         self.contact()
             .map_or(Now::MAX, |contact| self.now.saturating_sub(contact))
     }
 
-    /// Takes a feed. Entries in it are committed, so whoever sent it may be believed, and what
-    /// stands in their place in this log was never committed.
+    /// Handles a feed. Its entries are committed, so any sender may be believed, and entries of
+    /// this log that differ from them were never committed.
     pub(super) fn fed(&mut self, from: NodeId, feed: Message) {
         let Message::Feed {
             sent,
@@ -254,8 +256,9 @@
         self.take(prev, entries);
     }
 
-    /// A follower names the leader that its source does. Others are believed only if they are in
-    /// touch with one: a node that is cut off can't tell, and mustn't be believed over the source.
+    /// Takes the leader that a feed names. A learner believes its source. It believes other nodes
+    /// only if they are in touch with a leader: a node that is cut off can't know, and mustn't be
+    /// believed over the source.
     fn learn_leader(&mut self, from: NodeId, lag: Now, leader: Option<NodeId>) {
         let is_source = self.feed.source == Some(from);
         if !self.is_voter() && (is_source || lag < self.config.feed_timeout) {
@@ -274,8 +277,8 @@
         self.committed = self.committed.max(last);
     }
 
-    /// A node with an empty disk learns whether its id is a voter's already, from a source that is
-    /// in touch with a leader.
+    /// Decides whether a node with an empty disk may vote: not if its id already is a voter's, by
+    /// what a node in touch with a leader says.
     fn settle_standing(&mut self, voters: &[NodeId]) {
         if self.standing != Standing::Unknown || voters.is_empty() {
             return;
--- a/src/core/consensus/leader.rs
+++ b/src/core/consensus/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of the others.
+//! The state that only a leader keeps: how far each peer is, and the changes under way.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,22 +8,22 @@
 };
 use crate::core::types::{NodeId, Now};
 
-/// How far one node is.
+/// How far the leader has replicated its log to one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Progress {
     /// The next entry to send.
     pub(super) next: Index,
     /// The last entry known to be on its disk and equal to the leader's.
     pub(super) matched: Index,
-    /// The leader's clock when it sent what the node answered last.
+    /// When, by the leader's clock, it had sent the latest message that the node has answered.
     pub(super) heard: Option<Now>,
-    /// No answer since the last conflict: one message at a time.
+    /// Whether it is still unknown up to where the logs match; then only one message is in flight.
     pub(super) probing: bool,
-    /// The last index of each message with entries under way.
+    /// The last index of each message with entries that is in flight.
     pub(super) in_flight: VecDeque<Index>,
-    /// Since when no entry was confirmed although some are under way.
+    /// Since when no entry was confirmed although some are in flight.
     pub(super) owing: Option<Now>,
-    /// The snapshot on its way, if the log doesn't reach back far enough.
+    /// The snapshot that is being sent, if the log doesn't reach back far enough.
     pub(super) transfer: Option<Transfer>,
 }
 
@@ -42,20 +42,20 @@
         }
     }
 
-    /// Whether another message with entries may go.
+    /// Whether another message with entries may be sent.
     pub(super) fn has_room(&self, pipeline: usize) -> bool {
         let limit = if self.probing { 1 } else { pipeline.max(1) };
         self.in_flight.len() < limit
     }
 
-    /// A message with entries up to `last` went.
+    /// Records that a message with entries up to `last` was sent.
     pub(super) fn sent(&mut self, now: Now, last: Index) {
         self.next = last + 1;
         self.in_flight.push_back(last);
         self.owing.get_or_insert(now);
     }
 
-    /// The node has everything up to an index.
+    /// Records that the node has everything up to an index.
     pub(super) fn matched(&mut self, now: Now, index: Index) {
         let moved = index > self.matched;
         self.matched = self.matched.max(index);
@@ -75,7 +75,8 @@
         }
     }
 
-    /// The node's log differs; go back to where it says, not behind what is known to match.
+    /// Records that the node's log differs, and goes back to the index that the node names, but not
+    /// behind what is known to match.
     pub(super) fn conflict(&mut self, hint: Index) {
         self.next = hint.min(self.next).max(self.matched + 1);
         self.probing = true;
@@ -95,15 +96,15 @@
     /// All voters after the change.
     pub(super) voters: Vec<NodeId>,
     pub(super) node: NodeId,
-    /// Since when it is waited for.
+    /// When the leader began to wait for it.
     pub(super) since: Now,
 }
 
-/// Leadership on its way to another voter.
+/// A hand-over of leadership to another voter that is under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct HandOver {
     pub(super) to: NodeId,
-    /// When this leader goes on leading.
+    /// When this leader gives up the hand-over and goes on leading.
     pub(super) until: Now,
 }
 
@@ -114,17 +115,17 @@
     pub(super) term: Term,
     /// When it was elected.
     pub(super) elected: Now,
-    /// Who led before, and when it was last heard.
+    /// The leader before this one, and when its last message arrived.
     pub(super) former: Option<(NodeId, Now)>,
     /// When the next heartbeat is due.
     pub(super) beat: Now,
-    /// When it last asked once more, as it had been held up itself.
+    /// When it last gave a quorum another lease to answer, having been delayed itself.
     pub(super) excused: Option<Now>,
     /// The other voters, and a node that is about to become one.
     pub(super) peers: BTreeMap<NodeId, Progress>,
-    /// The change of voters that waits for its new voter.
+    /// The change of voters that waits until its new voter has caught up.
     pub(super) joining: Option<Joining>,
-    /// The planned change of leader.
+    /// The hand-over of leadership that is under way.
     pub(super) handing: Option<HandOver>,
 }
 
--- a/src/core/consensus/log.rs
+++ b/src/core/consensus/log.rs
@@ -12,7 +12,7 @@
 pub(super) struct Log {
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// Where among the entries the voters change.
+    /// The indexes of the entries that change the voters.
     changes: Vec<Index>,
     /// The last index handed to the disk.
     written: Index,
@@ -40,7 +40,7 @@
         &self.snapshot
     }
 
-    /// The last index that only the snapshot holds.
+    /// The last index that the snapshot covers; the entries after it are kept one by one.
     pub(super) fn base(&self) -> Index {
         self.snapshot.last.index
     }
@@ -59,7 +59,7 @@
         self.durable
     }
 
-    /// The position at an index, if the log reaches it and didn't cut it away.
+    /// The position at an index, if the log reaches that far and hasn't dropped it.
     pub(super) fn position(&self, index: Index) -> Option<Position> {
         if index == self.base() {
             return Some(self.snapshot.last);
@@ -73,7 +73,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from an index on, up to the limits; at least one if there is one.
+    /// Entries of the indexes `from` to `to`, up to the limits; at least one if there is one.
     pub(super) fn batch(&self, from: Index, to: Index, entries: usize, bytes: usize) -> Vec<Entry> {
         let mut size = 0;
         let mut batch = Vec::new();
@@ -99,7 +99,7 @@
         self.entries.push(entry);
     }
 
-    /// Drops an index and everything after it.
+    /// Drops the entry at an index and all entries after it.
     pub(super) fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(self.base() + 1);
         self.entries
@@ -110,7 +110,7 @@
         self.durable = self.durable.min(last);
     }
 
-    /// The entries not yet handed to the disk, which count as handed from now on.
+    /// Returns the entries not yet handed to the disk, and marks them as handed over.
     pub(super) fn unwritten(&mut self) -> Vec<Entry> {
         let from = usize::try_from(self.written - self.base()).unwrap_or(usize::MAX);
         self.written = self.last().index;
@@ -125,12 +125,12 @@
         self.written
     }
 
-    /// The disk holds everything up to an index, as far as it still stands in the log.
+    /// Records that the disk holds all entries up to an index, as far as they are still in the log.
     pub(super) fn synced(&mut self, index: Index) {
         self.durable = self.durable.max(index.min(self.written));
     }
 
-    /// The voters as of the log's end: a change counts from when it is appended.
+    /// The voters as of the log's end: a change takes effect when it is appended.
     pub(super) fn voters(&self) -> &[NodeId] {
         self.voters_at(Index::MAX)
     }
@@ -152,7 +152,7 @@
         self.changes.last().copied().unwrap_or_default()
     }
 
-    /// The first index of the term that stands at an index.
+    /// The first index, as far as the log reaches back, of the term of the entry at an index.
     pub(super) fn first_of_term(&self, index: Index) -> Index {
         let Some(here) = self.position(index) else {
             return index;
@@ -168,7 +168,7 @@
         self.position(index).map(|p| p.term)
     }
 
-    /// Makes a snapshot the log's start. Entries after it stay if they follow from it.
+    /// Makes a snapshot the log's start. Entries after it stay if this log contains its last entry.
     pub(super) fn compact(&mut self, snapshot: Snapshot) {
         let last = snapshot.last;
         if self.position(last.index) == Some(last) {
@@ -185,7 +185,7 @@
     }
 }
 
-/// About how many bytes an entry takes in a message.
+/// The approximate size of an entry in a message, in bytes.
 fn weight(entry: &Entry) -> usize {
     const FRAME: usize = 24;
     match &entry.content {
--- a/src/core/consensus/membership.rs
+++ b/src/core/consensus/membership.rs
@@ -1,9 +1,9 @@
 //! Changes of voters, one added or removed at a time, and planned hand-over of leadership.
 //!
-//! Any majority before such a change meets any majority after it, so a list of voters counts from
-//! the moment it is appended and no joint phase is needed. That holds only if one change is
+//! Any majority before such a change overlaps any majority after it, so a list of voters takes
+//! effect as soon as it is appended, and no joint phase is needed. That holds only if one change is
 //! committed before the next begins, and only once the leader has committed an entry of its own
-//! term: an older leader's change may still stand in someone's log.
+//! term: a change by an earlier leader may still stand in another node's log.
 
 use super::{
     leader::{HandOver, Joining, Progress},
@@ -13,15 +13,16 @@
 };
 use crate::core::types::NodeId;
 
-/// How many of the longest election waits a new voter has to come up to date.
+/// How many of the longest election timeouts a new voter has to catch up.
 const JOIN: u32 = 30;
-/// How many of them it may say nothing, or confirm nothing of what it was sent: one that is gone or
-/// whose disk hangs mustn't hold up the change that replaces another.
+/// For how many of the longest election timeouts a new voter may answer nothing, or confirm none of
+/// the entries that it was sent. A node that is gone or whose disk hangs mustn't hold up the change
+/// that replaces another voter.
 const UNCONFIRMED: u32 = 1;
 /// How many entries a new voter may lack when it is added.
 const CLOSE: Index = 16;
 
-/// What a change of voters does.
+/// The effect of a change of voters.
 enum Change {
     Add(NodeId),
     Remove,
@@ -54,11 +55,12 @@
         let peer = leader.peers.entry(joining.node);
         peer.or_insert_with(|| Progress::new(next));
         leader.joining = Some(joining);
-        // It has all but what was written since it was last fed, and can say so at once.
+        // The node lacks only what was written since it was last fed. A heartbeat now lets it
+        // confirm that at once.
         leader.beat = self.now;
     }
 
-    /// What a change comes to, unless it can't be made now.
+    /// The effect of a change, or `None` if it can't be made now.
     fn check_change(&self, voters: &[NodeId]) -> Option<Change> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -97,14 +99,15 @@
             .is_some_and(|p| p.term == self.term)
     }
 
-    /// Goes on with what a leader has under way besides entries.
+    /// Advances what a leader has under way besides replication.
     pub(super) fn tend(&mut self) {
         self.tend_joining();
         self.tend_removed();
         self.tend_handover();
     }
 
-    /// Adds a voter once it is close enough not to hold up the majority that needs it.
+    /// Adds a new voter once it has caught up so far that it won't hold up the majority that needs
+    /// it. Rejects the change if that takes too long.
     fn tend_joining(&mut self) {
         let (now, last) = (self.now, self.log.last().index);
         let wait = self.config.election_max;
@@ -135,8 +138,8 @@
         }
     }
 
-    /// Forgets removed voters once their removal is committed, and gives up leadership if this
-    /// node is one of them.
+    /// Drops the progress of removed voters once their removal is committed, and hands leadership
+    /// over if this node is one of them.
     fn tend_removed(&mut self) {
         if self.log.last_change() > self.committed {
             return;
@@ -154,8 +157,9 @@
         }
     }
 
-    /// Leadership goes to another voter, the most advanced if none is named. No proposal is taken
-    /// from now on; the receiver campaigns as soon as it has all entries.
+    /// Starts to hand leadership over to another voter, the most advanced if none is named. No
+    /// proposal is accepted from now on; the other voter is asked to campaign as soon as it has all
+    /// entries.
     pub(super) fn hand_over(&mut self, to: Option<NodeId>) {
         let until = self.now + self.config.election_min;
         let best = self.most_advanced();
@@ -176,7 +180,8 @@
             .peers
             .iter()
             .filter(|(v, _)| self.voters().contains(v));
-        // The first of equals, so that the choice is the same everywhere.
+        // Of equally advanced voters the one with the lowest id, so that the choice is the same
+        // everywhere.
         voters
             .rev()
             .max_by_key(|(_, peer)| peer.matched)
@@ -184,7 +189,8 @@
     }
 
     /// Steps down in favour of the chosen voter once that has all entries. A leader that asked
-    /// another to campaign never leads in this term again, so its lease needs no recall.
+    /// another node to campaign never leads in this term again, so its lease needs no further
+    /// revocation.
     fn tend_handover(&mut self) {
         let (now, last, term) = (self.now, self.log.last().index, self.term);
         let Role::Leader(leader) = &mut self.role else {
@@ -210,7 +216,7 @@
         self.outbox.push(Output::Rejected { proposal, leader });
     }
 
-    /// Whether this leader takes no proposals because another is to lead.
+    /// Whether this leader accepts no proposals because it is handing leadership over.
     pub fn is_handing(&self) -> bool {
         matches!(&self.role, Role::Leader(leader) if leader.handing.is_some())
     }
--- a/src/core/consensus/message.rs
+++ b/src/core/consensus/message.rs
@@ -1,13 +1,13 @@
-//! What nodes say to one another.
+//! The messages between nodes.
 
 use serde::{Deserialize, Serialize};
 
 use super::seam::{Entry, Index, Payload, Term};
 use crate::core::types::{NodeId, Now};
 
-/// A place in the log together with the term of what stands there.
+/// An index in the log together with the term of the entry there.
 ///
-/// Orders as elections do: by term first. `0, 0` is the place before the first entry.
+/// Ordered by term first, as elections compare logs. `0, 0` is the position before the first entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 pub struct Position {
@@ -17,13 +17,13 @@
     pub index: Index,
 }
 
-/// What became of an [`Message::Append`].
+/// The outcome of a [`Message::Append`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum Verdict {
-    /// Everything up to here equals the leader's log and is on disk.
+    /// Everything up to this index equals the leader's log and is on disk.
     Matched(Index),
-    /// The logs differ before the entries; try again from here.
+    /// The logs differ before the entries; the leader should try again from this index.
     Conflict(Index),
 }
 
@@ -31,58 +31,59 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum Message {
-    /// Would you vote for me? Changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender. Changes nothing at the receiver.
     PreVote {
-        /// The term that the sender would campaign in.
+        /// The term in which the sender would campaign.
         term: Term,
         /// The end of the sender's log.
         last: Position,
     },
     /// The answer to a [`Message::PreVote`].
     PreVoteReply {
-        /// The term asked about.
+        /// The term that was asked about.
         term: Term,
         /// The receiver's own term.
         current: Term,
-        /// Whether it would.
+        /// Whether the receiver would vote for the sender.
         granted: bool,
     },
-    /// Vote for me.
+    /// Asks the receiver for its vote.
     Vote {
         /// The sender's term.
         term: Term,
         /// The end of the sender's log.
         last: Position,
-        /// The leader itself asked for this election, so its lease doesn't stand against it.
+        /// Whether the leader itself asked for this election, so that its lease doesn't prevent the
+        /// vote.
         handover: bool,
     },
     /// The answer to a [`Message::Vote`].
     VoteReply {
         /// The receiver's term.
         term: Term,
-        /// Whether it voted so.
+        /// Whether the receiver voted for the sender.
         granted: bool,
     },
-    /// The leader's entries, or its heartbeat when there are none.
+    /// Entries of the leader, or its heartbeat when there are none.
     Append {
         /// The leader's term.
         term: Term,
-        /// What stands before the entries in the leader's log.
+        /// The position before the entries in the leader's log.
         prev: Position,
-        /// Entries in index order without gaps.
+        /// Entries in index order, without gaps.
         entries: Vec<Entry>,
         /// The leader's committed index.
         committed: Index,
-        /// The leader's clock; comes back in the answer.
+        /// The leader's clock; returned in the answer.
         sent: Now,
     },
     /// The answer to an [`Message::Append`].
     AppendReply {
         /// The receiver's term.
         term: Term,
-        /// The clock of the message answered.
+        /// The leader's clock in the message that is answered.
         sent: Now,
-        /// What became of it.
+        /// The outcome.
         verdict: Verdict,
     },
     /// The leader asks the receiver to campaign at once.
@@ -90,31 +91,31 @@
         /// The leader's term.
         term: Term,
     },
-    /// A follower asks to be fed, and again a few times in each feed timeout.
+    /// A learner asks to be fed; repeated a few times in each feed timeout.
     Subscribe {
         /// The last index it has.
         last: Index,
-        /// Its clock; comes back in the feed.
+        /// The sender's clock; returned in the feed.
         sent: Now,
     },
-    /// Committed entries for a follower.
+    /// Committed entries for a learner.
     Feed {
-        /// The clock of the last subscription.
+        /// The learner's clock in its last subscription.
         sent: Now,
-        /// How old the sender's own knowledge is.
+        /// How long ago the sender itself was last in touch with a leader.
         lag: Now,
         /// The index before the first entry.
         prev: Index,
-        /// Committed entries in index order without gaps.
+        /// Committed entries in index order, without gaps.
         entries: Vec<Entry>,
         /// The sender's committed index.
         committed: Index,
-        /// Who leads, as far as the sender knows.
+        /// The leader, as far as the sender knows.
         leader: Option<NodeId>,
         /// The voters, as far as the sender knows.
         voters: Vec<NodeId>,
     },
-    /// A part of a snapshot, from the leader or from whoever feeds a follower.
+    /// A chunk of a snapshot, from the leader or from the node that feeds a learner.
     Chunk {
         /// The leader's term; 0 in a feed, whose receiver takes no part in terms.
         term: Term,
@@ -122,11 +123,11 @@
         last: Position,
         /// The voters as of that entry.
         voters: Vec<NodeId>,
-        /// Bytes of the image before this part.
+        /// The number of bytes of the snapshot before this chunk.
         offset: u64,
-        /// Bytes of the whole image.
+        /// The number of bytes of the whole snapshot.
         total: u64,
-        /// This part.
+        /// The bytes of this chunk.
         part: Payload,
         /// The sender's clock, or that of the last subscription.
         sent: Now,
@@ -135,12 +136,12 @@
     ChunkReply {
         /// The receiver's term; 0 in a feed.
         term: Term,
-        /// Which snapshot.
+        /// The last index that the snapshot includes.
         index: Index,
-        /// How many bytes the receiver holds in order from the start; the total once it is on
-        /// disk.
+        /// How many bytes the receiver holds without gaps from the start; the total only once the
+        /// snapshot is on disk.
         held: u64,
-        /// The clock of the message answered.
+        /// The clock of the message that is answered.
         sent: Now,
     },
 }
--- a/src/core/consensus/mod.rs
+++ b/src/core/consensus/mod.rs
@@ -1,26 +1,29 @@
-//! The replicated log: one voter or follower, as one state machine.
+//! The replicated log, after Raft: one node, voter or learner, as a state machine.
 //!
-//! A few nodes, the *voters*, agree on one sequence of entries; all others, the *followers*, get
-//! what is committed. One voter at a time leads a *term*: it orders what is proposed, sends it to
-//! the others, and commits an entry once a majority has it on disk. A committed entry is never
-//! lost, changed or reordered while a majority of the voters keeps its disks. `docs/CONSENSUS.md`
-//! tells the protocol, its promises and how they were checked.
+//! A few nodes, the *voters*, agree on one sequence of entries. All other nodes, the *learners*,
+//! receive what is committed and never vote. One voter at a time leads a *term*: it orders the
+//! proposed entries, sends them to the others, and commits an entry once a majority of the voters
+//! has it on disk. A committed entry is never lost, changed or reordered while a majority of the
+//! voters keeps its disks. `docs/CONSENSUS.md` describes the protocol, its guarantees and how they
+//! were checked.
 //!
-//! A [`Node`] does no I/O. Whoever drives it hands in one [`Input`] at a time and carries out the
-//! [`Output`]s in order:
+//! A [`Node`] does no I/O. Its driver passes in one [`Input`] at a time and carries out the
+//! returned [`Output`]s in order:
 //!
-//! - [`Output::Send`] goes to the named node if it can; loss, delay, reordering and duplicates are
-//!   allowed.
-//! - [`Output::Write`] is appended to the disk, in order. When it is synced, say so by
-//!   [`Input::Synced`]; several writes may share one sync and one answer. At the next start
-//!   [`Restored::replay`] takes the records back.
+//! - [`Output::Send`] is sent to the named node if possible; loss, delay, reordering and duplicates
+//!   are allowed.
+//! - [`Output::Write`] is appended to the disk, in order. Once it is synced, the driver reports
+//!   that by [`Input::Synced`]; several writes may share one sync and one report. At the next start
+//!   [`Restored::replay`] rebuilds the state from the records.
 //! - [`Output::Apply`] and [`Output::Restore`] go to the state machine, in order.
-//! - [`Output::Placed`] and [`Output::Rejected`] answer proposals. A placed one is committed when
-//!   an entry of its index *and term* is applied; with another term it never will be.
-//! - [`Output::Resigned`] tells why a leader stepped down, for a log line.
+//! - [`Output::Placed`] and [`Output::Rejected`] answer proposals. A proposal that was placed is
+//!   committed once an entry with its index *and term* is applied. If the entry applied at its
+//!   index has another term, the proposal will never be committed.
+//! - [`Output::Resigned`] gives the reason why a leader stepped down, for a log line.
 //!
 //! Call [`Node::step`] with [`Input::Tick`] at least every 10 ms. A leader may act alone, or answer
-//! reads, only while the clock is before [`Node::lease_until`], asked anew after every wait.
+//! reads, only while the clock is before [`Node::lease_until`], which must be called again after
+//! every wait.
 //!
 //! # Example
 //!
@@ -48,7 +51,7 @@
 //!                 inputs.insert(0, Input::Synced { write });
 //!             }
 //!             Output::Apply(entry) => match entry.content {
-//!                 // The leader's first entry is committed: it leads for good.
+//!                 // The leader's first entry is committed, so its leadership is established.
 //!                 Content::Noop => {
 //!                     let payload = Payload::from_static(b"first change");
 //!                     inputs.insert(0, Input::Propose { proposal: 1, payload });
@@ -62,7 +65,7 @@
 //! }
 //! assert!(node.is_leader() && node.lease_until() > Some(now));
 //!
-//! // After a crash the disk brings back the log.
+//! // After a crash the log is restored from the disk.
 //! let node = Node::new(Duration::ZERO, config, Restored::replay(disk));
 //! assert_eq!(node.last().index, 3);
 //! ```
--- a/src/core/consensus/node.rs
+++ b/src/core/consensus/node.rs
@@ -1,4 +1,4 @@
-//! One node: its state, its inputs, and what others may ask it.
+//! One node: its state, and the handling of each input by the modules beside this one.
 
 use std::collections::BTreeSet;
 
@@ -20,40 +20,41 @@
 /// Whether a node may vote under its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Standing {
-    /// The disk was empty and no node has said yet whether the id is a voter already.
+    /// The disk was empty, and no node has told this one yet whether its id already is a voter's.
     Unknown,
-    /// It may vote when the voters' list names it.
+    /// It may vote while the list of voters contains its id.
     Member,
-    /// It has no disk, or lost what it promised under this id. It follows and never votes.
+    /// It has no disk, or lost the term and votes that it recorded under this id. It receives
+    /// entries and never votes.
     Barred,
 }
 
-/// What a node does now.
+/// The role of a node in the current term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Role {
-    /// Follows a leader or waits for one.
+    /// Follows a leader or waits for one. Learners always have this role.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the other voters whether they would vote for it.
     PreCandidate { granted: BTreeSet<NodeId> },
-    /// Asks to be elected. Its own vote counts once `write` is on disk.
+    /// Asks the other voters to vote for it. Its own vote counts once `write` is on disk.
     Candidate {
         granted: BTreeSet<NodeId>,
         write: u64,
     },
-    /// Leads.
+    /// Leads the term.
     Leader(Leader),
 }
 
-/// A time without steps, longer than a leader's lease.
+/// A pause of the process: a time without steps at least as long as a leader's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Frozen {
-    /// When a leader was heard before it.
+    /// When this node was last in contact with a leader before the pause.
     pub(super) heard: Option<Now>,
-    /// Until when messages from before it may still come in.
+    /// Until when messages from before the pause may still arrive.
     pub(super) until: Now,
 }
 
-/// One voter or follower.
+/// A node of the cluster, voter or learner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     pub(super) config: Config,
@@ -63,17 +64,17 @@
     pub(super) vote: Option<NodeId>,
     pub(super) role: Role,
     pub(super) leader: Option<NodeId>,
-    /// The leader that was last heard, which may be long ago.
+    /// The leader that last sent something, possibly long ago.
     pub(super) former: Option<NodeId>,
-    /// Whether this node is about to end, so that it must not begin to lead.
+    /// Whether this node is about to stop, so that it must not become leader.
     pub(super) retiring: bool,
     pub(super) log: Log,
     pub(super) committed: Index,
     pub(super) applied: Index,
-    /// When a leader was last heard. A restart counts, for a promise may stand from before it.
+    /// When a leader's message last arrived. A restart counts as one, because a promise to a leader
+    /// from before it may still be in force.
     pub(super) heard: Option<Now>,
-    /// When a leader was last heard before this process was frozen, and until when what is heard
-    /// may have been waiting since then.
+    /// The last pause of this process, after which messages may arrive that were sent before it.
     pub(super) frozen: Option<Frozen>,
     /// When the next campaign is due.
     pub(super) deadline: Now,
@@ -84,9 +85,9 @@
 }
 
 impl Node {
-    /// A node as its disk left it. What it has to say at once comes with the first step.
+    /// Restores a node from what is on its disk. Its first outputs are returned by the first step.
     pub fn new(now: Now, mut config: Config, restored: Restored) -> Self {
-        // A lease as long as a voter's promise would leave nothing for clocks that drift apart.
+        // A lease as long as a voter's promise would leave no margin for clocks that drift apart.
         config.lease = config.lease.min(config.election_min * 9 / 10);
         let outbox = Outbox::new(now, config.disk, config.protections.sync);
         let blank = restored.is_empty();
@@ -121,7 +122,8 @@
         node
     }
 
-    /// Takes one input at a time that never goes back, and tells what to do, in order.
+    /// Handles one input and returns what to do, in order. Times must not decrease from one call to
+    /// the next.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Output> {
         self.notice_freeze(now);
         self.now = self.now.max(now);
@@ -143,7 +145,8 @@
         self.outbox.drain()
     }
 
-    /// A process that wakes finds old messages in its sockets, which say nothing about now.
+    /// Detects a pause of the process. After one, its sockets hold old messages, which say nothing
+    /// about the present.
     fn notice_freeze(&mut self, now: Now) {
         if now < self.now + self.config.lease {
             return;
@@ -153,7 +156,7 @@
         self.frozen = Some(Frozen { heard, until });
     }
 
-    /// Begins a new cluster. The first entry is the same on all its voters, so that whoever is
+    /// Starts a new cluster. The first entry is the same on all its voters, so that a node that is
     /// fed from the log's start learns the voters from it.
     fn bootstrap(&mut self) {
         let Some(voters) = self.config.bootstrap.clone() else {
@@ -203,8 +206,8 @@
         self.is_voter() && !self.is_stalled() && !self.retiring
     }
 
-    /// Whether the disk has not answered for longer than an election takes. Such a node would hold
-    /// up every change if it led.
+    /// Whether a write has waited for the disk for the longest election timeout or more. Such a
+    /// node would hold up every change if it led.
     pub(super) fn is_stalled(&self) -> bool {
         let oldest = self.outbox.oldest();
         oldest.is_some_and(|since| self.now >= since + self.config.election_max)
@@ -279,7 +282,7 @@
         self.count_own_vote();
     }
 
-    /// What every input may have made possible.
+    /// Does whatever an input may have made possible: replicate, commit, apply and feed.
     fn settle(&mut self) {
         if self.is_leader() {
             self.replicate();
@@ -315,7 +318,7 @@
         }
     }
 
-    /// Draws when the next campaign is due. A range of one value draws nothing.
+    /// Draws the time of the next campaign. From a range of one value nothing is drawn.
     pub(super) fn postpone(&mut self) {
         let (min, max) = (self.config.election_min, self.config.election_max);
         let wait = if min < max {
@@ -326,7 +329,8 @@
         self.deadline = self.now + wait;
     }
 
-    /// Takes a term, forgetting the vote of the one before.
+    /// Enters a term with a vote, which replaces the vote of the term before, and returns the
+    /// number of the write that records both.
     pub(super) fn set_term(&mut self, term: Term, vote: Option<NodeId>) -> u64 {
         self.term = term;
         self.vote = vote;
@@ -337,7 +341,7 @@
             .write(Record::Ballot { term, vote }, self.log.written())
     }
 
-    /// Follows in a term, whoever leads it.
+    /// Becomes a follower in a term, whoever leads it.
     pub(super) fn step_down(&mut self, term: Term) {
         if term > self.term {
             self.set_term(term, None);
@@ -347,7 +351,8 @@
         self.leader = None;
     }
 
-    /// Leads no more, if it did, and follows in the same term or in one that it has just taken.
+    /// Steps down, if this node leads, and becomes a follower in the current term: the one it led,
+    /// or one that it has just entered.
     pub(super) fn resign(&mut self, why: Resignation) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -375,7 +380,7 @@
         count > voters.len() / 2
     }
 
-    /// When the leader sent what a quorum has answered.
+    /// The latest time at which the leader had sent a quorum what it has since answered.
     pub(super) fn quorum_heard(&self) -> Option<Now> {
         let Role::Leader(leader) = &self.role else {
             return None;
--- a/src/core/consensus/outbox.rs
+++ b/src/core/consensus/outbox.rs
@@ -1,4 +1,4 @@
-//! Outputs under way, and messages that wait for the disk.
+//! The outputs of the current step, and messages that wait for the disk.
 
 use std::collections::VecDeque;
 
@@ -8,27 +8,28 @@
 };
 use crate::core::types::{NodeId, Now};
 
-/// A message that a write must precede.
+/// A message that may leave only after a write is synced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Held {
     to: NodeId,
     message: Message,
 }
 
-/// A write that is not known to be on disk.
+/// A write that isn't known to be on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Pending {
     write: u64,
     since: Now,
-    /// How far the log is on disk with it; lowered when the log is cut meanwhile.
+    /// How far the log is on disk once this write is; lowered when the log is truncated in the
+    /// meantime.
     log: Index,
-    /// Whether it holds term and vote.
+    /// Whether it records a term and vote.
     ballot: bool,
     held: Vec<Held>,
 }
 
-/// Collects outputs in order. A message handed to [`Outbox::send_synced`] leaves only after every
-/// write before it is synced, so seen from outside each write is as if instantaneous.
+/// Collects outputs in order. A message passed to [`Outbox::send_synced`] leaves only after every
+/// write before it is synced, so to other nodes each write appears instantaneous.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Outbox {
     /// The time of the current step.
@@ -41,8 +42,8 @@
 }
 
 impl Outbox {
-    /// Without a disk nothing is written, and what would be counts as synced. With `sync` off
-    /// nothing waits for the disk; for tests.
+    /// Without a disk nothing is written, and every write counts as synced. With `sync` off, which
+    /// is for tests, nothing waits for the disk.
     pub(super) fn new(now: Now, disk: bool, sync: bool) -> Self {
         let (out, pending) = (Vec::new(), VecDeque::new());
         Self {
@@ -63,12 +64,12 @@
         self.out.push(output);
     }
 
-    /// Sends at once.
+    /// Sends a message at once.
     pub(super) fn send(&mut self, to: NodeId, message: Message) {
         self.out.push(Output::Send { to, message });
     }
 
-    /// Sends when all that was written so far is synced.
+    /// Sends a message once all writes so far are synced.
     pub(super) fn send_synced(&mut self, to: NodeId, message: Message) {
         match self.pending.back_mut() {
             Some(pending) if self.sync => pending.held.push(Held { to, message }),
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Writes a record. `log` is how far the log is on disk with it.
+    /// Writes a record and returns the number of the write. `log` is how far the log is on disk
+    /// once the record is.
     pub(super) fn write(&mut self, record: Record, log: Index) -> u64 {
         if !self.disk {
             return 0;
@@ -96,8 +98,8 @@
         write
     }
 
-    /// Everything up to a write is on disk. Lets the messages go that waited for it, and tells how
-    /// far the log is on disk.
+    /// Records that everything up to a write is on disk, and sends the messages that waited for it.
+    /// Returns how far the log is on disk.
     pub(super) fn synced(&mut self, write: u64) -> Index {
         let mut log = 0;
         while self.pending.front().is_some_and(|p| p.write <= write) {
@@ -112,14 +114,15 @@
         log
     }
 
-    /// The log was cut at an index: what was written at or after it doesn't count any more.
+    /// Records that the log was truncated at an index: pending writes no longer make entries at or
+    /// after it durable.
     pub(super) fn truncated(&mut self, from: Index) {
         for pending in &mut self.pending {
             pending.log = pending.log.min(from - 1);
         }
     }
 
-    /// Whether writes count as on disk at once.
+    /// Whether every write counts as on disk at once.
     pub(super) fn is_instant(&self) -> bool {
         !self.disk || !self.sync
     }
@@ -129,17 +132,17 @@
         self.is_instant() || self.pending.front().is_none_or(|p| p.write > write)
     }
 
-    /// Since when the oldest write is under way.
+    /// When the oldest pending write was issued.
     pub(super) fn oldest(&self) -> Option<Now> {
         self.pending.front().map(|p| p.since)
     }
 
-    /// How many writes are under way.
+    /// How many writes are pending.
     pub(super) fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether term and vote are on disk.
+    /// Whether the current term and vote are on disk.
     pub(super) fn is_ballot_synced(&self) -> bool {
         !self.sync || !self.pending.iter().any(|p| p.ballot)
     }
--- a/src/core/consensus/replication.rs
+++ b/src/core/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: the leader's entries reach the others, and are committed.
+//! Replication: the leader's entries reach the other voters' logs, and are committed.
 
 use super::{
     leader::{Progress, quorum},
@@ -10,7 +10,7 @@
 };
 use crate::core::types::{NodeId, Now};
 
-/// How many writes of a leader may be under way before new entries wait and go together.
+/// How many writes of a leader may be pending before new entries wait to be written together.
 const WRITES: usize = 2;
 
 impl Node {
@@ -27,12 +27,12 @@
         });
     }
 
-    /// Whether too many entries wait to be committed for more to be taken.
+    /// Whether so many entries wait to be committed that no more are accepted.
     fn is_full(&self) -> bool {
         self.log.last().index - self.committed >= self.config.backlog
     }
 
-    /// Appends to the leader's own log.
+    /// Appends an entry to the leader's own log.
     pub(super) fn push(&mut self, content: Content) -> Position {
         let index = self.log.last().index + 1;
         self.log.push(Entry {
@@ -43,7 +43,7 @@
         self.log.last()
     }
 
-    /// Heartbeats, and steps down when no quorum answers any more or the disk doesn't.
+    /// Sends heartbeats, and steps down when no quorum answers any more or the disk has stalled.
     pub(super) fn tick_leader(&mut self) {
         let unheard = self.config.protections.lease && self.is_unheard() && !self.excuse();
         if unheard || self.is_stalled() {
@@ -66,7 +66,8 @@
         self.beat();
     }
 
-    /// Sends every peer something to answer, which also tells it what is committed.
+    /// Sends every peer a message to answer; unless it is a chunk of a snapshot, it also carries
+    /// the committed index.
     fn beat(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -88,10 +89,10 @@
         self.now >= heard + self.config.lease
     }
 
-    /// Whether a leader that no quorum answered may ask once more. If its last heartbeat is long
-    /// overdue it was held up itself, so silence says nothing about the others, who may still wait
-    /// for it: stepping down would cost an election for nothing. Its lease isn't longer for it, and
-    /// it is excused once between two answers of a quorum.
+    /// Whether a leader that no quorum answered may wait for answers once more. If its own
+    /// heartbeat is overdue by a whole interval, it was delayed itself, so the silence says nothing
+    /// about the others, which may still wait for it. Stepping down would cost a needless election.
+    /// This doesn't extend its lease, and it happens once between two answers of a quorum.
     fn excuse(&mut self) -> bool {
         let (now, heartbeat) = (self.now, self.config.heartbeat);
         let heard = self.quorum_heard();
@@ -106,8 +107,8 @@
         held_up && answered
     }
 
-    /// Hands new entries to the disk and the others. While writes are under way new entries
-    /// gather, so that under load many share one write and one message.
+    /// Hands new entries to the disk and to the peers. While writes are pending, new entries
+    /// accumulate, so that under load many share one write and one message.
     pub(super) fn replicate(&mut self) {
         if self.outbox.pending() < WRITES {
             self.flush();
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Sends the next entries to a node if it lacks any and has room; whether it may take more.
+    /// Sends the next entries to a node if it lacks any and has room. Returns whether it may take
+    /// more.
     fn send_next(&mut self, to: NodeId) -> bool {
         let (written, base) = (self.log.written(), self.log.base());
         let pipeline = self.config.pipeline;
@@ -161,7 +163,8 @@
         true
     }
 
-    /// Sends entries, or none as a heartbeat, after what the node should have by now.
+    /// Sends entries, or none as a heartbeat, to follow the last entry that the node should have by
+    /// now.
     fn send_append(&mut self, to: NodeId, entries: Vec<Entry>) {
         let Some(next) = self.peer(to).map(|p| p.next) else {
             return;
@@ -182,7 +185,7 @@
         );
     }
 
-    /// Sends the next part of the snapshot to a node that needs one.
+    /// Sends the next chunk of the snapshot to a node that needs one. Returns whether it does.
     fn send_chunk(&mut self, to: NodeId) -> bool {
         let (term, size, now) = (self.term, self.config.chunk, self.now);
         let Some(peer) = self.peer(to) else {
@@ -203,9 +206,9 @@
         leader.peers.get_mut(&id)
     }
 
-    /// Commits what a majority has on disk, if the last of it is of this leader's term. An older
-    /// entry on a majority can still be overwritten by a leader that lacks it; once one of this
-    /// term is committed after it, such a leader can't be elected any more.
+    /// Commits what a majority has on disk, if the last of these entries is of this leader's term.
+    /// An older entry on a majority can still be overwritten by a leader that lacks it. Once an
+    /// entry of this term is committed after it, such a leader can't be elected any more.
     pub(super) fn commit(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -220,12 +223,12 @@
         let counts = term == Some(self.term) || !self.config.protections.own_term;
         if index > self.committed && counts {
             self.committed = index;
-            // The others apply it now, not at the next heartbeat.
+            // Lets the others apply the entries now instead of at the next heartbeat.
             self.beat();
         }
     }
 
-    /// Whether to take what a leader sent; follows it if so.
+    /// Whether to accept a leader's message. If so, this node follows that leader from now on.
     pub(super) fn accept_leader(&mut self, from: NodeId, term: Term, sent: Now) -> bool {
         if self.standing != Standing::Member {
             return false;
@@ -243,7 +246,7 @@
         true
     }
 
-    /// Takes a leader's entries, or its heartbeat.
+    /// Handles a leader's entries, or its heartbeat.
     pub(super) fn append(
         &mut self,
         from: NodeId,
@@ -262,7 +265,8 @@
         self.merge(entries);
         self.committed = self.committed.max(committed.min(last));
         if heartbeat && self.outbox.is_ballot_synced() {
-            // The lease needs no disk, so a slow one doesn't cost the leader its quorum.
+            // The lease needs no entries on disk, so a slow disk doesn't cost the leader its
+            // quorum.
             let reply = self.reply(sent, Verdict::Matched(last.min(self.log.durable())));
             self.outbox.send(from, reply);
             return;
@@ -281,13 +285,14 @@
         }
     }
 
-    /// Whether this log holds a position. What the snapshot holds was committed, so it does.
+    /// Whether this log contains a position. All that the snapshot covers was committed, so it
+    /// contains that.
     fn follows(&self, prev: Position) -> bool {
         prev.index < self.log.base() || self.log.position(prev.index) == Some(prev)
     }
 
-    /// Where the leader should try next: the log's end, or the start of the term that differs, so
-    /// that a whole term is skipped in one round trip.
+    /// Where the leader should try next: after the log's end, or at the start of the term that
+    /// differs, so that a whole term is skipped in one round trip.
     fn hint(&self, prev: Position) -> Index {
         let last = self.log.last().index;
         if prev.index > last {
@@ -296,7 +301,7 @@
         self.log.first_of_term(prev.index).max(self.committed + 1)
     }
 
-    /// Adds entries, cutting the log where it differs.
+    /// Adds entries, truncating the log where it differs from them.
     pub(super) fn merge(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             let here = self.log.position(entry.index).map(|p| p.term);
@@ -311,8 +316,8 @@
         }
     }
 
-    /// The follower whose answer to what was sent at `sent` counts, if this node still leads the
-    /// term that it answers for. A later term ends this node's own.
+    /// Records a node's answer to what was sent at `sent`, and returns the node's progress, if this
+    /// node still leads the term of the answer. A later term makes this node step down.
     pub(super) fn hear(&mut self, from: NodeId, term: Term, sent: Now) -> Option<&mut Progress> {
         if term > self.term {
             self.step_down(term);
@@ -326,7 +331,7 @@
         Some(peer)
     }
 
-    /// Takes a follower's answer.
+    /// Handles a node's answer to entries or a heartbeat.
     pub(super) fn append_reply(&mut self, from: NodeId, term: Term, sent: Now, verdict: Verdict) {
         let now = self.now;
         let Some(peer) = self.hear(from, term, sent) else {
@@ -338,7 +343,7 @@
         }
     }
 
-    /// Takes the state machine's image as the log's start.
+    /// Makes the state machine's snapshot the log's start.
     pub(super) fn compact(&mut self, index: Index, image: Payload) {
         if index <= self.log.base() || index > self.applied {
             return;
@@ -354,7 +359,7 @@
         });
     }
 
-    /// Makes a snapshot the log's start, here and on disk.
+    /// Makes a snapshot the log's start, in memory and on disk.
     pub(super) fn install(&mut self, snapshot: Snapshot) {
         let Position { term, index } = snapshot.last;
         let (voters, image) = (snapshot.voters.clone(), snapshot.image.clone());
--- a/src/core/consensus/restored.rs
+++ b/src/core/consensus/restored.rs
@@ -1,4 +1,4 @@
-//! What a node finds on its disk.
+//! The state that a node restores from its disk.
 
 use super::{
     message::Position,
@@ -6,18 +6,18 @@
 };
 use crate::core::types::NodeId;
 
-/// The state machine's image and the log's start.
+/// A snapshot of the state machine, with which the log starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Snapshot {
     /// The last entry that it includes.
     pub last: Position,
     /// The voters as of that entry.
     pub voters: Vec<NodeId>,
-    /// The state machine's image.
+    /// The state machine's snapshot.
     pub image: Payload,
 }
 
-/// The sum of the records on a disk, in the order they were written.
+/// The combined effect of the records on a disk, in the order in which they were written.
 ///
 /// ```
 /// use egretpin::core::consensus::{Record, Restored};
@@ -29,11 +29,11 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Restored {
-    /// Whether this disk may vote; nothing on an empty one.
+    /// Whether this disk may vote; `None` on an empty one.
     pub voting: Option<bool>,
     /// The current term.
     pub term: Term,
-    /// Whom this node voted for in it.
+    /// The node that this node voted for in it.
     pub vote: Option<NodeId>,
     /// The last snapshot, if any.
     pub snapshot: Option<Snapshot>,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The fewest records that replay to the same, for a disk that drops old ones.
+    /// The fewest records that replay to the same state, for a disk that drops old ones.
     ///
     /// ```
     /// use egretpin::core::consensus::{Record, Restored};
@@ -103,13 +103,13 @@
         records.into_iter().flatten().collect()
     }
 
-    /// Whether nothing was ever written.
+    /// Whether no record was ever written.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Whether this disk never held a log or a vote, so that a new cluster may begin on it. A start
-    /// that died between its first two records counts.
+    /// Whether this disk never held a log or a vote, so that a new cluster may be bootstrapped on
+    /// it. This includes a disk whose first start crashed between its first two records.
     pub(super) fn is_unborn(&self) -> bool {
         let empty = self.entries.is_empty() && self.snapshot.is_none() && self.term == 0;
         empty && self.voting != Some(false)
@@ -122,8 +122,8 @@
         self.entries.extend(entries);
     }
 
-    /// Keeps the entries after the snapshot if they follow from it; a log that differs at the
-    /// snapshot's end was never committed there and goes whole.
+    /// Installs a snapshot. Keeps the entries after it if they follow from it. A log that differs
+    /// at the snapshot's end was never committed there and is dropped whole.
     fn cut(&mut self, snapshot: Snapshot) {
         let follows = self.entries.iter().any(|e| {
             let here = Position {
--- a/src/core/consensus/seam.rs
+++ b/src/core/consensus/seam.rs
@@ -1,161 +1,163 @@
-//! What goes into and comes out of consensus.
+//! The inputs and outputs of consensus, and the entries and disk records that they carry.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 use crate::core::types::{DataCentreId, NodeId};
 
-/// A position in the log; the first entry has 1.
+/// The index of an entry in the log; the first entry has 1.
 pub type Index = u64;
-/// An election's number.
+/// The number of an election; each term has at most one leader.
 pub type Term = u64;
-/// What consensus carries and never reads.
+/// Bytes that consensus carries and never interprets.
 pub type Payload = Bytes;
 
-/// One entry of the log.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub struct Entry {
-    /// The term of the leader that made it.
+    /// The term of the leader that created it.
     pub term: Term,
-    /// Its position.
+    /// Its index.
     pub index: Index,
-    /// What it holds.
+    /// Its content.
     pub content: Content,
 }
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum Content {
-    /// A new leader's first entry.
+    /// The first entry of a new leader.
     Noop,
-    /// A command of the state machine.
+    /// A command for the state machine.
     Command(Payload),
-    /// A change of voters.
+    /// A change of voters: all voters from this entry on.
     Voters(Vec<NodeId>),
 }
 
 pub use super::message::Message;
 
-/// Where a node stands.
+/// A node and its data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub struct Place {
-    /// Which node.
+    /// The node.
     pub node: NodeId,
     /// Its data centre.
     pub data_centre: DataCentreId,
 }
 
-/// An event of consensus.
+/// An event that a node reacts to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// Time passes; at least every 10 ms.
+    /// Time has passed; sent at least every 10 ms.
     Tick,
-    /// A node sent a message.
+    /// A message from another node has arrived.
     Receive {
-        /// Which node.
+        /// The sender.
         from: NodeId,
-        /// Its message.
+        /// The message.
         message: Message,
     },
-    /// Append a command, if this node leads. The proposal number comes back in an output.
+    /// Append a command, if this node leads. The output that answers it carries the proposal
+    /// number.
     Propose {
-        /// The caller's number for it.
+        /// The caller's number for the proposal.
         proposal: u64,
         /// The command.
         payload: Payload,
     },
-    /// Everything asked to be written up to this point is synced.
+    /// All writes up to this one are synced.
     Synced {
         /// The write number of the last [`Output::Write`] that is on disk.
         write: u64,
     },
-    /// Change the voters by one added or one removed, if this node leads. An added voter is first
-    /// brought up to date; the proposal is placed only then.
+    /// Add or remove one voter, if this node leads. A new voter first catches up with the log; only
+    /// then is the proposal appended.
     Reconfigure {
-        /// The caller's number for it.
+        /// The caller's number for the proposal.
         proposal: u64,
         /// All voters after the change.
         voters: Vec<NodeId>,
     },
     /// Hand leadership to another voter, for a planned stop.
     HandOver {
-        /// To whom; the most advanced other voter if none is named.
+        /// The new leader; the most advanced other voter if none is named.
         to: Option<NodeId>,
     },
-    /// This node is about to end: it begins to lead no more.
+    /// This node is about to stop: from now on it never becomes leader.
     Retire,
-    /// All nodes that are known now, this one too, and where they stand.
+    /// All nodes that are known now, including this one, and their data centres.
     Nodes(Vec<Place>),
-    /// The state machine's image as of an index, for the log to be cut.
+    /// The state machine's snapshot as of an index; the log up to there may be dropped.
     Compact {
-        /// The last index that the image includes.
+        /// The last index that the snapshot includes.
         index: Index,
-        /// The image.
+        /// The state machine's snapshot.
         image: Payload,
     },
 }
 
-/// What the adapters are asked to do, in order.
+/// An action that the driver has to carry out, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Send to a node; loss is allowed.
+    /// Send a message to a node; loss is allowed.
     Send {
-        /// Which.
+        /// The receiver.
         to: NodeId,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Write to disk, in order, and report [`Input::Synced`].
+    /// Write a record to disk, in order, and report [`Input::Synced`].
     Write {
         /// The number to report.
         write: u64,
-        /// What.
+        /// The record.
         record: Record,
     },
-    /// A committed entry for the state machine, in index order, each once.
+    /// Apply a committed entry to the state machine. Entries come in index order, each once.
     Apply(Entry),
-    /// Replace the state machine by an image.
+    /// Replace the state machine's state by a snapshot.
     Restore {
-        /// The last index that the image includes.
+        /// The last index that the snapshot includes.
         index: Index,
-        /// The image.
+        /// The state machine's snapshot.
         image: Payload,
     },
-    /// The proposal got this place; it is committed only when applied with this term.
+    /// The proposal was appended to the log. It is committed only when an entry with this index and
+    /// term is applied.
     Placed {
-        /// The caller's number.
+        /// The caller's number for the proposal.
         proposal: u64,
-        /// Its term.
+        /// The term of its entry.
         term: Term,
-        /// Its index.
+        /// The index of its entry.
         index: Index,
     },
-    /// The proposal was not appended; nothing of it will happen.
+    /// The proposal was not appended and never takes effect.
     Rejected {
-        /// The caller's number.
+        /// The caller's number for the proposal.
         proposal: u64,
         /// The node that leads, if known.
         leader: Option<NodeId>,
     },
-    /// This node led a term and leads no more. It needs no action; it is for those who look after
+    /// This node led a term and has stepped down. This needs no action; it informs the operators of
     /// the cluster.
     Resigned {
-        /// The term.
+        /// The term that it led.
         term: Term,
-        /// Why.
+        /// The reason.
         why: Resignation,
     },
 }
 
-/// Why a leader stepped down.
+/// The reason why a leader stepped down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Resignation {
     /// No quorum answered for as long as a lease lasts.
     Unheard,
-    /// Its disk didn't answer for longer than an election takes.
+    /// Its disk has left a write unsynced for the longest election timeout.
     Stalled,
     /// Another node is in a later term.
     Superseded,
@@ -164,7 +166,7 @@
 }
 
 impl Resignation {
-    /// A fixed word, for logs.
+    /// A fixed label, for logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Unheard => "no quorum answered",
@@ -175,33 +177,33 @@
     }
 }
 
-/// One durable record.
+/// A durable record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum Record {
-    /// Whether this disk may ever vote under its id; written once, before anything else.
+    /// Whether this disk may ever vote under its id; written once, before any other record.
     Standing {
-        /// False on a disk that came up empty under an id that was a voter already.
+        /// False on a disk that was empty although its id was a voter already.
         voting: bool,
     },
-    /// Term and vote.
+    /// A term, and the vote of this node in it.
     Ballot {
         /// The current term.
         term: Term,
-        /// Whom this node voted for in it.
+        /// The node that this node voted for in it.
         vote: Option<NodeId>,
     },
-    /// Entries; what stood at or after the first index is cut.
+    /// Entries; they replace all entries at or after the first one's index.
     Append(Vec<Entry>),
-    /// A snapshot; the log up to its index may go.
+    /// A snapshot; the log up to its index may be dropped.
     Snapshot {
-        /// Last included index.
+        /// The last index that the snapshot includes.
         index: Index,
-        /// Its term.
+        /// The term of the entry at that index.
         term: Term,
-        /// The voters as of the index.
+        /// The voters as of that index.
         voters: Vec<NodeId>,
-        /// The state machine's image.
+        /// The state machine's snapshot.
         image: Payload,
     },
 }
--- a/src/core/consensus/snapshot.rs
+++ b/src/core/consensus/snapshot.rs
@@ -1,9 +1,9 @@
-//! Snapshots reach nodes that lag behind the log's start, in bounded parts.
+//! Transfer of snapshots, in chunks of limited size, to nodes that lag behind the log's start.
 //!
-//! The sender keeps the snapshot that it began with until the transfer ends, so that compaction
-//! meanwhile doesn't start it over; images are shared, not copied. One part is under way at a
-//! time, and the receiver says how much it holds, so a lost part or a restart on either side costs
-//! a heartbeat and no more.
+//! The sender keeps the snapshot that it began with until the transfer ends, so that a compaction
+//! in the meantime doesn't restart the transfer. The snapshot's bytes are shared, not copied. One
+//! chunk is in flight at a time, and the receiver reports how many bytes it holds, so a lost chunk
+//! or a restart on either side costs one heartbeat and no more.
 
 use super::{
     message::{Message, Position},
@@ -13,7 +13,7 @@
 };
 use crate::core::types::{NodeId, Now};
 
-/// A snapshot on its way to one node.
+/// A snapshot that is being sent to one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Transfer {
     snapshot: Snapshot,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The next part, or the last one again.
+    /// The next chunk, or the last one again.
     pub(super) fn chunk(&mut self, term: Term, size: usize, now: Now) -> Message {
         let image = &self.snapshot.image;
         let total = image.len() as u64;
@@ -60,7 +60,7 @@
         self.sent.is_none()
     }
 
-    /// Takes an answer, but for that of an older message.
+    /// Handles the answer to a chunk, and ignores answers to older messages.
     pub(super) fn answered(&mut self, index: Index, held: u64, sent: Now) -> Answer {
         if index != self.snapshot.last.index || self.sent != Some(sent) {
             return Answer::Stale;
@@ -76,12 +76,12 @@
     }
 }
 
-/// What an answer to a part means for its sender.
+/// What the answer to a chunk means for its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
     Stale,
     More,
-    /// All is on the receiver's disk, up to this index.
+    /// The whole snapshot is on the receiver's disk, up to this index.
     Done(Index),
 }
 
@@ -92,7 +92,7 @@
     image: Vec<u8>,
 }
 
-/// One part of a snapshot as received.
+/// A received chunk of a snapshot.
 pub(super) struct Part {
     pub(super) term: Term,
     pub(super) last: Position,
@@ -104,7 +104,7 @@
 }
 
 impl Node {
-    /// Takes a part, from the leader or from a feed.
+    /// Handles a chunk, from the leader or from a feed.
     pub(super) fn chunk(&mut self, from: NodeId, part: Part) {
         let (term, last, sent, total) = (part.term, part.last, part.sent, part.total);
         if term > 0 && !self.accept_leader(from, term, sent) {
@@ -142,8 +142,8 @@
         );
     }
 
-    /// Whether to take a part of a snapshot from a feed. Only one sender is heard at a time, the
-    /// leader before the source, for parts of two snapshots would undo each other.
+    /// Whether to accept a chunk from a feed. Only one sender is accepted at a time, the leader
+    /// before the source: chunks of two snapshots would undo each other.
     fn takes_chunks(&self, from: NodeId) -> bool {
         let timeout = self.config.feed_timeout;
         let led = self.heard.is_some_and(|heard| self.now < heard + timeout);
@@ -151,7 +151,7 @@
         known && !led && !self.is_leader() && self.relay() == Some(from)
     }
 
-    /// Adds a part if it follows what is there, and tells how many bytes are.
+    /// Adds a chunk if it continues what has been received, and returns how many bytes there are.
     fn gather(&mut self, part: &Part) -> u64 {
         let fresh = Incoming {
             last: part.last,
@@ -183,12 +183,13 @@
         self.restore();
     }
 
-    /// An answer that all is held waits for the disk.
+    /// Sends an answer once all writes so far are synced: one that reports the whole snapshot must
+    /// not precede the snapshot on disk.
     fn answer_chunk(&mut self, to: NodeId, message: Message) {
         self.outbox.send_synced(to, message);
     }
 
-    /// A node answered a part: the leader's or a feed's.
+    /// Handles a node's answer to a chunk that this node sent as leader or in a feed.
     pub(super) fn chunk_reply(&mut self, from: NodeId, reply: &Message) {
         let &Message::ChunkReply {
             term,
--- a/src/core/consensus/source.rs
+++ b/src/core/consensus/source.rs
@@ -1,28 +1,29 @@
-//! Which node feeds a follower.
+//! The choice of the node that feeds a learner.
 //!
-//! Sources are ranked the same way everywhere: the voters of the own data centre, then its
-//! followers with a lower id, then the other voters, and last all others. So the lowest reachable
-//! follower of a data centre without voters asks afar and the rest ask it. A source that is
-//! silent, or that hasn't heard of a leader itself, is passed over for a while.
+//! Every node ranks sources alike: first the voters of its own data centre, then the learners with
+//! a lower id there, then the other voters, and last all other nodes. So in a data centre without
+//! voters the reachable learner with the lowest id asks a node in another data centre, and the rest
+//! ask that learner. A source that is silent, or that has itself had no contact with a leader, is
+//! skipped for a while.
 
 use super::{message::Message, node::Node};
 use crate::core::types::{DataCentreId, NodeId, Now};
 
-/// How many feed timeouts a silent source is passed over the first time; twice as many each time
-/// that it is silent again.
+/// For how many feed timeouts a silent source is skipped the first time. The time doubles whenever
+/// the source is silent again.
 const PASS_OVER: u32 = 8;
-/// How often that doubles.
+/// How many times it doubles at most.
 const DOUBLINGS: u32 = 6;
-/// How many sources may be asked at once when none feeds this node. They are added one by one, so
-/// that the first that answers does so alone.
+/// How many sources may be asked at once while none feeds this node. They are added one by one, so
+/// that the first to answer is the only one to do so.
 const TRIALS: usize = 4;
 
-/// A source that doesn't answer, or has nothing to tell.
+/// A source that doesn't answer, or that isn't in touch with a leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Silence {
-    /// Until when it is passed over.
+    /// Until when it is skipped.
     until: Now,
-    /// How often in a row it was silent.
+    /// How many times in a row it was silent.
     times: u32,
 }
 
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Leaves a source alone for a while, and asks others at once.
+    /// Skips a source for a while, and lets another be asked at once.
     fn pass_over(&mut self, node: NodeId) {
         self.feed.trials.remove(&node);
         self.feed.asked = None;
@@ -60,8 +61,9 @@
         self.feed.silent.insert(node, silence);
     }
 
-    /// Asks the source, and one that ranks before it. The old source stays until the better one
-    /// has answered, so that trying a dead one costs no gap. Without a source a few are asked.
+    /// Asks the source, and one node that ranks before it. The old source stays until the better
+    /// one has answered, so that trying a dead node causes no gap. Without a source a few nodes are
+    /// asked.
     pub(super) fn ask_sources(&mut self) {
         let now = self.now;
         self.feed.asked = Some(now);
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The best source that ranks before the present one and isn't asked or passed over.
+    /// The best source that ranks before the present one and is neither being asked nor skipped.
     fn next_source(&self) -> Option<NodeId> {
         let sources = self.sources();
         let better = sources.iter().take_while(|&&n| self.feed.source != Some(n));
@@ -88,23 +90,23 @@
             let silence = self.feed.silent.get(n);
             silence.is_some_and(|silence| self.now < silence.until)
         };
-        // Two nodes that feed each other would both grow stale before they noticed.
+        // Two nodes that fed each other would both become stale before they noticed.
         let is_fed = |n: &NodeId| self.feed.subscribers.contains_key(n);
         let is_asked = |n: &NodeId| self.feed.trials.contains_key(n);
         let mut open = better.filter(|n| !is_asked(n) && !is_passed(n) && !is_fed(n));
         let idle = self.feed.source.is_none() && self.feed.trials.is_empty();
-        // With all passed over, the first is as good as any, and one must be asked.
+        // When all are skipped, the first is as good as any, and one must be asked.
         open.next().or(sources.first().filter(|_| idle)).copied()
     }
 
-    /// All that could feed this node, best first.
+    /// All nodes that could feed this one, best first.
     fn sources(&self) -> Vec<NodeId> {
         let id = self.config.id;
         let voters = self.known_voters();
         let home = self.data_centre(id);
         let near = |n: &NodeId| self.data_centre(*n) == home;
         let is_voter = |n: &NodeId| voters.contains(n);
-        // Before it knows the voters, a follower may ask anyone.
+        // Before it knows the voters, a learner may ask any node.
         let may_relay = |n: &NodeId| *n < id || voters.is_empty();
         let mut nodes: Vec<_> = self.config.places.iter().map(|p| p.node).collect();
         nodes.extend(voters);
@@ -115,11 +117,11 @@
             (true, true) => 0,
             (true, false) if may_relay(n) => 1,
             (false, true) => 2,
-            // The voters may all have been replaced since this node heard of them. Two nodes that
-            // feed each other soon find that neither has news.
+            // The voters may all have been replaced since this node last learned of them. Two nodes
+            // that feed each other soon detect that neither has news.
             _ => 3,
         };
-        // Relays begin at different voters afar, so that they share the load.
+        // Relays start at different voters of other data centres, so that these share the load.
         let turn = |n: &NodeId| match voters.iter().position(|v| v == n) {
             Some(at) if !near(n) => (at + id as usize) % voters.len(),
             _ => 0,
@@ -143,7 +145,8 @@
         places.find(|p| p.node == node).map(|p| &p.data_centre)
     }
 
-    /// Takes a node as the source if it knows something and ranks before the present one.
+    /// Adopts a node as the source if it is in touch with a leader and ranks before the present
+    /// one.
     pub(super) fn rank_source(&mut self, from: NodeId, sent: Now, lag: Now) {
         if lag >= self.config.feed_timeout {
             return;
@@ -163,7 +166,8 @@
         }
     }
 
-    /// Part of a snapshot came from a node; if that is the source, it lives.
+    /// Records that a chunk of a snapshot came from a node; if that node is the source, it is
+    /// alive.
     pub(super) fn touch_source(&mut self, from: NodeId) {
         if self.feed.source == Some(from) {
             self.feed.fresh = self.now;
--- a/src/core/consensus/view.rs
+++ b/src/core/consensus/view.rs
@@ -1,4 +1,4 @@
-//! What others may ask a node.
+//! Read-only queries on a node.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 use crate::core::types::{NodeId, Now};
 
-/// How many heartbeats a new leader sends to its predecessor before it may take it for lost.
+/// How many heartbeats a new leader sends to its predecessor before it may count it as silent.
 const FIRST_BEATS: u32 = 4;
 
 impl Node {
@@ -23,20 +23,20 @@
         self.term
     }
 
-    /// Who leads, as far as this node knows.
+    /// The leader, as far as this node knows.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// Whether this node leads. Another may lead too, in a later term; only the lease rules that
-    /// out.
+    /// Whether this node leads. Another node may lead, too, in a later term; only the lease rules
+    /// that out.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Until when no other node can lead, once this one has committed an entry of its own term
-    /// and so knows all that was committed before. Compare it with the clock at each use: a
-    /// process can freeze between two steps.
+    /// Until when no other node can lead, once this one has committed an entry of its own term and
+    /// so knows everything that was committed before. Compare it with the clock at each use: a
+    /// process can be paused between two steps.
     pub fn lease_until(&self) -> Option<Now> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -47,11 +47,11 @@
         Some(self.quorum_heard()? + self.config.lease)
     }
 
-    /// On the leader, the voters that for `limit` have answered nothing, or confirmed no entry
-    /// though some were sent, as one does whose disk hangs.
+    /// On the leader, the voters that for `limit` have answered nothing, or have confirmed no entry
+    /// though some were sent, as when a disk hangs.
     ///
-    /// Counted from the election at the earliest, but for the former leader: it may have been
-    /// missed for an election already, and has a few heartbeats to answer.
+    /// The time counts from the election at the earliest, except for the former leader. That one
+    /// may have been missing since before the election, and has a few heartbeats to answer.
     pub fn silent(&self, limit: Duration) -> Vec<NodeId> {
         let Role::Leader(leader) = &self.role else {
             return Vec::new();
@@ -95,7 +95,7 @@
         self.standing
     }
 
-    /// The entry at an index, if it is in the log and not cut away.
+    /// The entry at an index, if the log has it and hasn't dropped it.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         self.log.get(index)
     }
@@ -105,17 +105,18 @@
         self.standing == Standing::Member && self.voters().contains(&self.config.id)
     }
 
-    /// Whether this node votes by the last list that is known to be committed. A list after it may
-    /// still come to nothing.
+    /// Whether this node is a voter by the last list that is known to be committed. A later list
+    /// may still be discarded.
     pub fn is_committed_voter(&self) -> bool {
         let voters = self.log.voters_at(self.committed);
         self.standing == Standing::Member && voters.contains(&self.config.id)
     }
 
-    /// When a leader with a quorum was last known to lead, by this node's clock: on the leader the
-    /// last quorum's answer, on a voter the last message (after a freeze only one that can't have
-    /// waited in a socket since before it), on a follower the last subscription
-    /// answered, less the relay's own lag. Nothing before the first contact.
+    /// When a leader with a quorum was last known to lead, by this node's clock. On the leader this
+    /// is the last answer of a quorum. On a voter it is the last message; after a pause of the
+    /// process, only one that can't have waited in a socket since before the pause. On a learner it
+    /// is the last subscription that was answered, less the relay's own lag. `None` before the
+    /// first contact.
     pub fn contact(&self) -> Option<Now> {
         if self.is_leader() {
             return self.quorum_heard();
--- a/tests/consensus/checks.rs
+++ b/tests/consensus/checks.rs
@@ -1,4 +1,5 @@
-//! Exhaustive checks of the promises, each with twins that lack a protection and must fail.
+//! Exhaustive checks of the guarantees. Each is repeated with one protection off and must then
+//! fail.
 
 use std::time::Instant;
 
@@ -15,7 +16,7 @@
 const TWO_LEASES: &str = "two leases at once";
 const DEPOSED: &str = "a leader with a quorum was deposed";
 
-/// A search under a name.
+/// A search with a name for the printed report.
 struct Check {
     name: &'static str,
     model: Model,
@@ -32,13 +33,13 @@
         found
     }
 
-    /// Asserts that the model holds.
+    /// Asserts that the search finds no violation.
     fn holds(self) -> Self {
         assert_eq!(self.search(&self.model, self.name), None);
         self
     }
 
-    /// Asserts that it doesn't, under the same bounds, with a protection switched off.
+    /// Asserts that the search, within the same bounds, finds `violation` with one protection off.
     fn fails(self, without: &str, violation: &str, switch: fn(&mut Protections)) -> Self {
         let mut weak = self.model.clone();
         switch(&mut weak.protections);
@@ -150,7 +151,7 @@
     };
     let mut model = Model::new(bounds).only(&[3], &[]);
     model.steady = true;
-    check("coming back", model, Model::elected)
+    check("returning host", model, Model::elected)
         .holds()
         .fails("pre-vote", DEPOSED, |p| p.pre_vote = false)
         .fails("lease", DEPOSED, |p| p.lease = false);
@@ -167,7 +168,7 @@
     let mut model = Model::new(bounds).bare().only(&[2, 3], &[]);
     model.joiners = vec![4, 5];
     model.lists = vec![vec![1, 4, 5]];
-    check("voters", model, Model::elected)
+    check("one change of voters", model, Model::elected)
         .holds()
         .fails("single step", LACKS, |p| p.single_step = false);
 }
@@ -194,10 +195,10 @@
         ..Bounds::default()
     };
     let model = Model::new(bounds).only(&[2, 3], &[3]);
-    check("together", model, Model::elected).holds();
+    check("all protections", model, Model::elected).holds();
 }
 
-/// The cluster with an id that three nodes have founded, each with a folder of its own.
+/// A cluster with the given id, founded by three nodes that have a folder each.
 fn cluster(id: u64) -> Cluster {
     let founder = |node| Founder {
         node,
@@ -207,7 +208,7 @@
     Cluster { id, founders }
 }
 
-/// A node of a cluster, which it may know.
+/// What a node of the cluster `of` says of itself; `knows` is whether it knows its cluster.
 fn claim(node: NodeId, of: u64, knows: bool) -> Claim {
     Claim {
         node,
@@ -216,7 +217,8 @@
     }
 }
 
-/// A stray with a voter's id was elected, and took all that was committed with it.
+/// Guards against a node of another cluster that has the id of a voter: one was elected, and
+/// everything that had been committed was lost.
 #[test]
 fn a_stray_voter_of_another_cluster_counts_for_nothing() {
     let bounds = Bounds {
@@ -233,10 +235,10 @@
     ] {
         let mut model = Model::new(bounds).bare().only(&[2, 3], &[]);
         model.claims = ours.into_iter().chain([stray]).collect();
-        let check = check("stray", model, Model::strayed).holds();
+        let check = check("foreign voter", model, Model::strayed).holds();
         let mut weak = check.model.clone();
         weak.claims.clear();
-        let found = check.search(&weak, "stray without the check");
+        let found = check.search(&weak, "foreign voter without the check");
         assert_eq!(found, Some(LACKS));
     }
 }
--- a/tests/consensus/elections.rs
+++ b/tests/consensus/elections.rs
@@ -57,7 +57,7 @@
     let mut world = World::voters(3);
     let leader = world.elect();
     let term = world.node(leader).term();
-    // A step that took longer than a lease, and less than the others wait for a leader.
+    // One step takes longer than a lease, but less than the other voters wait for a leader.
     world.now += SECOND * 47 / 100;
     assert_eq!(world.leader(), None, "its lease ran out");
     world.run(SECOND / 20);
@@ -75,7 +75,7 @@
         world.now += SECOND * 47 / 100;
         world.tick();
     }
-    // Whoever is elected meanwhile is held up too.
+    // A leader that is elected in the meantime is delayed, too.
     assert_eq!(world.resigned[0], (leader, Resignation::Unheard));
     assert!(!world.node(leader).is_leader());
 }
--- a/tests/consensus/followers.rs
+++ b/tests/consensus/followers.rs
@@ -1,4 +1,4 @@
-//! Followers hear of changes through one relay a data centre.
+//! Learners receive committed entries through one relay per data centre.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const VOTERS: [NodeId; 3] = [1, 2, 3];
 
-/// Voters 1 to 3 in three data centres, followers 4 to 7 in a fourth.
+/// Voters 1 to 3 in three data centres, learners 4 to 7 in a fourth.
 fn place(id: NodeId) -> Config {
     let places = ["lagos", "ikeja", "lekki"];
     (1..=7).fold(config(id, &VOTERS).disk(id <= 3), |config, node| {
@@ -26,12 +26,13 @@
 fn world() -> World {
     let mut world = World::new((1..=7).map(place).collect());
     world.elect();
-    // Relays that had no news before the first election are tried again after a while.
+    // Relays that had no contact with a leader before the first election are tried again after a
+    // while.
     world.run(SECOND * 5);
     world
 }
 
-/// How many of the followers' feeds crossed between data centres.
+/// How many feeds with entries crossed from the voters' data centres to the learners'.
 fn crossings(world: &World) -> usize {
     let crosses = |from: &NodeId, m: &Message| {
         matches!(m, Message::Feed { entries, .. } if !entries.is_empty()) && *from <= 3
@@ -99,7 +100,7 @@
     let mut world = World::new((1..=6).map(place).collect());
     world.elect();
     world.run(SECOND * 5);
-    // A voter that is too busy to answer its neighbour, which turns to another data centre.
+    // The voter is too busy to answer the learner beside it, which switches to another data centre.
     world.cut(&[1], &[2]);
     world.run(SECOND * 2);
     assert!(world.node(2).relay().is_some_and(|relay| relay > 2));
@@ -111,7 +112,7 @@
     let voter = world.now - cut;
     world.until(SECOND * 20, |w| w.node(2).leader().is_none());
     println!(
-        "the voter after {voter:?}, the follower after {:?}",
+        "the voter after {voter:?}, the learner after {:?}",
         world.now - cut
     );
     assert!(world.now - cut <= SECOND);
@@ -166,10 +167,10 @@
             .filter(|(from, to, _)| *from == id || *to == id);
         own.map(|(_, _, message)| size(message)).sum::<usize>() / 10
     };
-    let follower = (5..=7).map(rate).max().unwrap();
+    let learner = (5..=7).map(rate).max().unwrap();
     let (leader, relay) = (rate(leader), rate(4));
     println!(
-        "idle bytes a second, in and out: leader {leader}, relay {relay}, follower {follower}"
+        "idle bytes a second, in and out: leader {leader}, relay {relay}, learner {learner}"
     );
-    assert!(leader.max(relay).max(follower) < 5_000);
+    assert!(leader.max(relay).max(learner) < 5_000);
 }
--- a/tests/consensus/main.rs
+++ b/tests/consensus/main.rs
@@ -1,4 +1,4 @@
-//! What consensus promises, checked on the real core.
+//! The guarantees of consensus, checked on the real implementation.
 
 mod checks;
 mod elections;
--- a/tests/consensus/membership.rs
+++ b/tests/consensus/membership.rs
@@ -1,4 +1,4 @@
-//! Voters come and go, one at a time.
+//! Changes of voters, one at a time.
 
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     assert_eq!(world.node(lost).standing(), Standing::Barred);
     world.commit(1);
     world.run(SECOND);
-    assert_eq!(world.commands(lost), [1], "it is still fed");
+    assert_eq!(world.commands(lost), [1], "it still receives entries");
     world.crash(leader);
     world.run(SECOND * 10);
     assert_eq!(
@@ -95,7 +95,7 @@
     assert!(!world.node(old).is_voter());
     world.commit(5);
     world.run(SECOND);
-    assert_eq!(world.commands(old), [5], "it follows from now on");
+    assert_eq!(world.commands(old), [5], "it is a learner from now on");
 }
 
 #[test]
@@ -110,7 +110,7 @@
             voters,
         },
     );
-    assert!(world.answers.is_empty(), "it is waited for");
+    assert!(world.answers.is_empty(), "the leader waits for node 9");
     world.until(SECOND * 5 / 2, |w| !w.answers.is_empty());
     assert!(matches!(
         world.answers[..],
@@ -149,7 +149,7 @@
     world.run(SECOND * 3);
     assert!(
         world.node(leader).silent(limit).is_empty(),
-        "it owes nothing"
+        "no entry waits for its disk"
     );
     world.commit(2);
     world.run(SECOND * 2);
@@ -175,7 +175,7 @@
         },
     );
     assert!(world.node(leader).is_changing());
-    // More than may be missing of one that is close.
+    // More entries than a new voter may lack when it is added.
     (3..30).for_each(|command| world.commit(command));
     world.until(SECOND * 2, |w| !w.node(leader).is_changing());
     assert_eq!(world.node(leader).voters(), [1, 2, 3]);
@@ -209,7 +209,7 @@
             to: Some(others[0]),
         },
     );
-    // It can't do so by an election either.
+    // It can't become leader by an election either.
     for _ in 0..20 {
         world.run(SECOND / 4);
         assert_ne!(world.leader(), Some(others[0]));
@@ -231,7 +231,7 @@
     );
     assert!(
         world.answers.is_empty(),
-        "9 is not up to date, and never will be"
+        "node 9 is not up to date, and never will be"
     );
     world.isolate(leader);
     world.run(SECOND);
--- a/tests/consensus/model.rs
+++ b/tests/consensus/model.rs
@@ -1,10 +1,10 @@
-//! A model of a cluster for exhaustive search: the real nodes, their disks, and every message
-//! ever sent that could still arrive.
+//! A model of a cluster for exhaustive search: the real nodes, their disks, and every message ever
+//! sent that could still arrive.
 //!
-//! Messages stay for ever and can be delivered at any time, any number of times, so loss, delay,
-//! reordering, duplication and cuts need no steps of their own: a lost message is one that the
-//! search doesn't deliver. A host that is down is one that gets no steps, so a crash and the
-//! restart after it are one step.
+//! Messages are kept for ever and can be delivered at any time and any number of times, so loss,
+//! delay, reordering, duplication and cut links need no steps of their own: a lost message is one
+//! that the search doesn't deliver. A host that is down is one that gets no steps, so a crash and
+//! the restart after it are one step.
 
 use std::{
     hash::{Hash, Hasher},
@@ -29,64 +29,66 @@
 /// One unit of the models' clocks.
 pub(crate) const UNIT: Duration = Duration::from_millis(100);
 
-/// The last term of a stray's own cluster.
+/// The last term in the cluster that the foreign voter comes from.
 const STRAY: Term = 4;
 
-/// How much of each thing a search may do.
+/// How many steps of each kind a search may take.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Bounds {
-    /// A host's own clock runs past its election deadline.
+    /// A host's own clock advances beyond its election deadline.
     pub(crate) timeouts: u8,
-    /// All clocks move by a unit, and hosts tick when they like.
+    /// All clocks advance by one unit, and hosts may tick at any time.
     pub(crate) passes: u8,
-    /// A leader gets a command.
+    /// A leader receives a command.
     pub(crate) proposals: u8,
     /// A host crashes and restarts.
     pub(crate) restarts: u8,
     /// A host's writes stay unsynced for a while.
     pub(crate) lazy: u8,
-    /// A message is delivered and stays under way.
+    /// A message is delivered and kept for another delivery.
     pub(crate) twice: u8,
-    /// A host loses its disk and comes back.
+    /// A host loses its disk and starts again.
     pub(crate) wipes: u8,
-    /// A host hands in its state machine's image.
+    /// A host passes in its state machine's snapshot.
     pub(crate) compactions: u8,
-    /// A leader is told to hand over.
+    /// A leader is asked to hand leadership over.
     pub(crate) handovers: u8,
-    /// A leader is told to change the voters to the next list.
+    /// A leader is asked to change the voters to the next list.
     pub(crate) changes: u8,
 }
 
-/// Which of the leaders' messages arrive. Fewer make a search go further in the same states.
+/// Which of the leaders' append messages arrive. With fewer of them a search of as many states goes
+/// deeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Appends {
     /// None.
     Lost,
     /// Those with entries.
     Entries,
-    /// All.
+    /// All, heartbeats included.
     Heartbeats,
 }
 
-/// What is searched.
+/// What a search explores, and within which limits.
 #[derive(Clone, Debug)]
 pub(crate) struct Model {
     pub(crate) voters: Vec<NodeId>,
     pub(crate) joiners: Vec<NodeId>,
     pub(crate) protections: Protections,
     pub(crate) bounds: Bounds,
-    /// The lists of voters that leaders are told to change to, last first.
+    /// The lists of voters that leaders are asked to change to, the last one first.
     pub(crate) lists: Vec<Vec<NodeId>>,
-    /// Hosts whose clocks run on.
+    /// Hosts whose own clocks may advance beyond their election deadlines.
     pub(crate) timers: Vec<NodeId>,
-    /// Hosts that crash, lose disks and sync late.
+    /// Hosts that may crash, lose their disks and sync late.
     pub(crate) faulty: Vec<NodeId>,
     pub(crate) appends: Appends,
-    /// Whether host 1 must go on leading.
+    /// Whether it is a violation if host 1 stops leading.
     pub(crate) steady: bool,
-    /// How many steps a search goes at most.
+    /// The greatest number of steps from the start.
     pub(crate) limit: u32,
-    /// What hosts say of themselves, by which they admit each other; all do if none is given.
+    /// What hosts say of themselves, by which they admit each other. With none given, all admit
+    /// each other.
     pub(crate) claims: Vec<Claim>,
 }
 
@@ -98,7 +100,7 @@
     pub(crate) violation: Option<&'static str>,
 }
 
-/// A value shared between states, with its hash taken once: most successors are known already.
+/// A value that states share, with its hash computed once: most successor states are known already.
 #[derive(Clone, Debug)]
 struct Shared<T> {
     value: Rc<T>,
@@ -115,7 +117,7 @@
         shared
     }
 
-    /// The value, for a change that [`Shared::seal`] must follow.
+    /// Returns the value for a change, after which [`Shared::seal`] must be called.
     fn edit(&mut self) -> &mut T {
         self.hash = 0;
         Rc::make_mut(&mut self.value)
@@ -152,7 +154,7 @@
     }
 }
 
-/// A machine.
+/// A host: a node, its clock and its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Host {
     node: Node,
@@ -161,7 +163,7 @@
     unsynced: Vec<(u64, Record)>,
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Packet {
     from: NodeId,
@@ -169,29 +171,29 @@
     message: Message,
 }
 
-/// What must never be contradicted.
+/// What happened so far and later steps must not contradict.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct History {
-    /// Who led each term.
+    /// The leader of each term.
     leaders: Vec<(Term, NodeId)>,
-    /// What was applied anywhere, from index 1.
+    /// The entries that any host applied, from index 1.
     applied: Vec<Entry>,
     violation: Option<&'static str>,
 }
 
-/// One state of the whole. How deep it was found is no part of it.
+/// One state of the whole cluster. The depth at which it was found doesn't count in comparisons.
 #[derive(Clone, Debug)]
 pub(crate) struct State {
     hosts: Vec<Shared<Host>>,
     network: Vec<Shared<Packet>>,
     history: Shared<History>,
     left: Bounds,
-    /// Whether all clocks go alike, so that leases can be compared.
+    /// Whether all clocks advance together, so that leases can be compared.
     synchronous: bool,
-    /// Which hosts may sync late.
+    /// Whether each host may sync late.
     faulty: Vec<bool>,
     appends: Appends,
-    /// Whether host 1 must go on leading in the term it led at the start.
+    /// The term that host 1 must go on leading, if losing it is a violation.
     steady: Option<Term>,
     depth: u32,
 }
@@ -233,15 +235,15 @@
         }
     }
 
-    /// The hosts whose clocks run on, and those that fail.
+    /// Limits the hosts whose clocks may advance alone, and those that may fail.
     pub(crate) fn only(mut self, timers: &[NodeId], faulty: &[NodeId]) -> Self {
         self.timers = timers.to_vec();
         self.faulty = faulty.to_vec();
         self
     }
 
-    /// Without pre-votes and leases. Safety doesn't rest on them, and more can happen without them
-    /// in as many steps.
+    /// Turns pre-votes and leases off. Safety doesn't depend on them, and without them more can
+    /// happen in as many steps.
     pub(crate) fn bare(mut self) -> Self {
         self.protections.pre_vote = false;
         self.protections.lease = false;
@@ -259,7 +261,7 @@
             .protections(self.protections.clone())
     }
 
-    /// All hosts started, nothing said.
+    /// All hosts have started and nothing has been sent.
     pub(crate) fn start(&self) -> State {
         let hosts = self.voters.iter().map(|&id| {
             let config = self.config(id).bootstrap(self.voters.clone());
@@ -285,13 +287,13 @@
             depth: 0,
         };
         for at in 0..state.hosts.len() {
-            // An input that says nothing new brings out what the start had to write.
+            // An input without news returns what the start had to write.
             state.step(at, Input::Nodes(Vec::new()), false);
         }
         state
     }
 
-    /// Host 1 leads and all is quiet.
+    /// Host 1 leads and no message is in flight.
     pub(crate) fn elected(&self) -> State {
         let mut state = self.start();
         state.appends = Appends::Heartbeats;
@@ -306,7 +308,7 @@
         state
     }
 
-    /// Host 1 led and host 3 leads, and each has an entry that nobody else has.
+    /// Host 1 led and host 3 leads, and each has an entry that no other host has.
     pub(crate) fn divided(&self) -> State {
         let mut state = self.elected();
         let payload = Payload::from(vec![9]);
@@ -325,7 +327,7 @@
         state
     }
 
-    /// Host 1 leads, and at the place of host 3 is one with the disk of another cluster.
+    /// Host 1 leads, and host 3 has been replaced by one with the disk of another cluster.
     pub(crate) fn strayed(&self) -> State {
         let mut state = self.elected();
         let contents = [
@@ -349,7 +351,7 @@
         state
     }
 
-    /// Whether two hosts may be linked.
+    /// Whether two hosts may exchange messages.
     fn admits(&self, one: NodeId, other: NodeId) -> bool {
         let claim = |id| self.claims.iter().find(|claim| claim.node == id);
         match (claim(one), claim(other)) {
@@ -358,7 +360,7 @@
         }
     }
 
-    /// Searches all that can follow from a state.
+    /// Searches all states that can follow from a state.
     pub(crate) fn search(&self, start: State) -> Report {
         let (mut states, mut depth) = (0, 0);
         for state in bfs_reach(start, |s| self.successors(s)) {
@@ -518,8 +520,8 @@
         self.hosts.iter().position(|h| h.node.id() == id)
     }
 
-    /// Steps a host, once with its writes synced at once and once, if bounds allow, with them
-    /// left for later. What changes nothing is left out.
+    /// Steps a host, once with its writes synced at once and once, if the bounds allow it, with its
+    /// writes left unsynced. A step that changes nothing is left out.
     fn step_both(self, at: usize, input: &Input, before: &Self, next: &mut Vec<Self>) {
         let mut prompt = self.clone();
         prompt.step(at, input.clone(), false);
@@ -624,7 +626,8 @@
         self.step(at, Input::Tick, false);
     }
 
-    /// Delivers everything in order until nothing is under way; entries may be lost instead.
+    /// Delivers all messages in order until none is in flight. Unless `entries` is set, append
+    /// messages are lost.
     fn settle(&mut self, entries: bool) {
         while !self.network.is_empty() {
             let packet = Packet::clone(&self.network.remove(0));
@@ -637,10 +640,10 @@
         }
     }
 
-    /// Sorts the messages, for their order doesn't matter, and drops those that can't do anything
-    /// any more but tell a term.
+    /// Sorts the messages, since their order doesn't matter, and drops those that can't have any
+    /// effect any more beyond announcing a term.
     fn tidy(&mut self) {
-        // A host that may yet lose its disk may yet take what it has left behind.
+        // A host that may still lose its disk may then accept messages of terms that it has left.
         let wipes = self.left.wipes > 0;
         let hosts = std::mem::take(&mut self.hosts);
         let host = |id| hosts.iter().find(|h| h.node.id() == id);
@@ -654,7 +657,7 @@
         self.history.seal();
     }
 
-    /// Checks a host that has just stepped.
+    /// Checks the invariants for a host that has just stepped.
     fn watch(&mut self, at: usize) {
         let host = self.hosts[at].clone();
         if host.node.is_leader() {
@@ -707,14 +710,14 @@
     }
 }
 
-/// Whether a message can still do something. Answers die when their receiver has left the term on
-/// disk or doesn't lead or ask any more; requests when both ends have left it.
+/// Whether a message can still have an effect. An answer can't once its receiver has left the term
+/// on disk, or no longer leads or campaigns; a request can't once both ends have left the term.
 fn is_alive(message: &Message, from: &Host, to: &Host) -> bool {
     match *message {
         Message::VoteReply { term, granted } => {
             term > to.node.term() || (granted && term >= to.disk.term && !to.node.is_leader())
         }
-        // An answer that says nothing new now never will: what a leader knows only grows.
+        // An answer without news never has any later: what a leader knows only grows.
         Message::AppendReply { term, verdict, .. } => {
             let leads = term == to.node.term() && to.node.is_leader();
             let matched = matches!(verdict, Verdict::Matched(_));
@@ -728,7 +731,7 @@
     }
 }
 
-/// Whether a message changes nothing at its receiver.
+/// Whether a message changes nothing at its receiver and makes it send nothing.
 fn is_known(message: &Message, from: &Host, to: &Host) -> bool {
     let mut node = to.node.clone();
     let (from, message) = (from.node.id(), message.clone());
@@ -737,7 +740,7 @@
         && node == to.node
 }
 
-/// The state machine's image: what it applied, in short.
+/// The state machine's snapshot: a digest of what it applied.
 fn image(applied: &[Entry], index: Index) -> Payload {
     let applied = applied.iter().filter(|e| e.index <= index);
     let bytes = applied.flat_map(|e| match &e.content {
@@ -748,7 +751,7 @@
     Payload::from(bytes.collect::<Vec<_>>())
 }
 
-/// Whether two logs are equal up to any entry that they share.
+/// Whether two logs are equal up to each entry that they share.
 fn logs_match(a: &Node, b: &Node) -> bool {
     let last = a.last().index.min(b.last().index);
     let mut shared = false;
--- a/tests/consensus/random.rs
+++ b/tests/consensus/random.rs
@@ -1,4 +1,4 @@
-//! Long random runs against a naive log of one copy.
+//! Long random runs, compared with a reference log that has one copy.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,10 +14,10 @@
 const SECOND: Duration = Duration::from_secs(1);
 const VOTERS: [NodeId; 3] = [1, 2, 3];
 const NODES: NodeId = 6;
-/// Room in the directory for replacements of voters.
+/// The directory's size: room for the nodes that replace voters.
 const PLACES: NodeId = 40;
 
-/// Three voters in as many data centres, three followers in a fourth.
+/// Three voters in three data centres, three learners in a fourth.
 fn place(id: NodeId, protections: &Protections) -> Config {
     let places = ["graz", "linz", "wels"];
     let config = config(id, &VOTERS)
@@ -32,19 +32,19 @@
     })
 }
 
-/// One run for each. Those with a story are named at the test.
+/// The seeds, one run for each. Those that found a fault are named at the test.
 fn seeds() -> impl Iterator<Item = u64> {
     (0..20).chain([71])
 }
 
-/// A world in which something happens at nearly every tick, and the changes it took.
+/// A simulated cluster in which something happens at nearly every tick.
 struct Run {
     world: World,
     rng: Pcg64,
     proposals: u64,
-    /// Hosts whose disk is lost; they don't come back.
+    /// Hosts whose disk is lost; they are never started again.
     lost: BTreeSet<NodeId>,
-    /// The voter to replace and the host that replaces it.
+    /// The voter that is being replaced, and the host that replaces it.
     replacing: Option<(NodeId, NodeId)>,
     protections: Protections,
 }
@@ -79,7 +79,7 @@
         Some(self.world.node(leader).voters().to_vec())
     }
 
-    /// A voter loses its disk for good and a new host comes up.
+    /// A voter loses its disk for good, and a new host starts.
     fn lose(&mut self) {
         let Some(voters) = self.voters().filter(|_| self.replacing.is_none()) else {
             return;
@@ -92,7 +92,7 @@
         self.replacing = Some((old, new));
     }
 
-    /// What an operator does after that: remove the old voter, then add the new one.
+    /// Replaces the lost voter as an operator would: removes the old voter, then adds the new one.
     fn replace(&mut self) {
         let Some((old, new)) = self.replacing else {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Mends everything and lets it come to rest.
+    /// Repairs all faults and lets the cluster settle.
     fn rest(&mut self) {
         self.world.heal();
         self.world.loss = 0.0;
@@ -173,9 +173,9 @@
     }
 }
 
-// Found so far: parts of two sources' snapshots undid each other (seed 5); an empty follower asked
-// hosts that don't exist over and over (0); one whose known voters were all replaced asked nobody
-// else (71).
+// Faults found so far: chunks of two sources' snapshots undid each other (seed 5). An empty learner
+// asked hosts that don't exist again and again (seed 0). A learner asked no other node after all
+// voters that it knew were replaced (seed 71).
 #[test]
 fn random_runs_equal_a_naive_log() {
     let (mut committed, mut restored, mut replaced) = (0, 0, 0);
@@ -201,7 +201,7 @@
         assert_eq!(
             refused.filter(|p| unique.contains(p)).count(),
             0,
-            "refused is not run"
+            "a rejected change is never committed"
         );
         committed += commands.len();
         replaced += run.lost.len();
@@ -224,12 +224,13 @@
         };
         let panic = std::panic::catch_unwind(run).err();
         let text = panic.and_then(|p| p.downcast::<String>().ok());
-        text.is_some_and(|text| text.contains("one entry an index"))
+        text.is_some_and(|text| text.contains("one entry per index"))
     });
     assert!(noticed);
 }
 
-/// Plays a run; how often a node that answers callers lacked a change that was confirmed.
+/// Plays a run and counts how often a node that would answer callers lacked a change that was
+/// already confirmed.
 fn outdated(seed: u64, answers: impl Fn(&Node, Now) -> bool) -> usize {
     let mut run = Run::new(seed, &Protections::default());
     let end = run.world.now + SECOND * 60;
@@ -255,8 +256,8 @@
     count
 }
 
-/// What a key allows is decided by the leader's last change alone, so a key that was taken away, and confirmed
-/// so, must not be served by any node: neither by a former leader behind a cut, nor by a new one.
+/// Only the leader's last change decides what a key allows. So once it is confirmed that a key was
+/// taken away, no node may serve that key: neither a former leader behind a cut link nor a new one.
 #[test]
 fn whoever_may_answer_knows_every_change_that_was_confirmed() {
     let holds = |node: &Node, now| node.lease_until().is_some_and(|until| now < until);
@@ -265,7 +266,7 @@
     }
 }
 
-/// The check above notices leaders that answer without a lease.
+/// The check above detects leaders that answer without a lease.
 #[test]
 fn without_a_lease_a_former_leader_answers_by_what_was_changed() {
     assert!(seeds().any(|seed| outdated(seed, |node, _| node.is_leader()) > 0));
--- a/tests/consensus/replication.rs
+++ b/tests/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Changes reach all nodes, in one order, and only once they are safe.
+//! Changes reach all nodes in one order, and only once they are durable on a majority.
 
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
     });
     let mut world = World::new(configs.collect());
     let leader = world.elect();
-    // Relays that knew nothing before the first election are tried again after a while.
+    // Relays that had no contact with a leader before the first election are tried again after a
+    // while.
     world.run(SECOND * 5);
     for proposal in 0..100 {
         world.propose(leader, proposal);
--- a/tests/consensus/snapshots.rs
+++ b/tests/consensus/snapshots.rs
@@ -1,4 +1,4 @@
-//! A node that lags behind the log's start gets the state machine's image.
+//! A node that lags behind the log's start receives the state machine's snapshot.
 
 use std::time::Duration;
 
--- a/tests/consensus/world.rs
+++ b/tests/consensus/world.rs
@@ -1,4 +1,4 @@
-//! Nodes, disks and links in memory, under one logical clock.
+//! A simulated cluster: nodes, disks and links in memory, under one logical clock.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,7 +17,7 @@
 
 pub(crate) const TICK: Duration = Duration::from_millis(10);
 
-/// What happens later.
+/// An event in the future.
 #[derive(Clone, Debug)]
 enum Event {
     Deliver {
@@ -32,41 +32,42 @@
     },
 }
 
-/// One machine: it keeps its disk over a crash and loses the rest.
+/// A host: it keeps its disk over a crash and loses the rest.
 pub(crate) struct Host {
     pub(crate) config: Config,
     pub(crate) node: Option<Node>,
-    /// What is synced.
+    /// Records that are synced.
     pub(crate) disk: Vec<Record>,
-    /// What is written and not synced.
+    /// Records that are written and not synced.
     unsynced: Vec<(u64, Record)>,
-    /// What the state machine holds: all commands since the first.
+    /// What the state machine holds: all entries since the first.
     pub(crate) applied: BTreeMap<Index, Entry>,
     pub(crate) restored: Vec<Index>,
     life: u32,
 }
 
-/// A cluster.
+/// The simulated cluster, with its faults and what it did.
 pub(crate) struct World {
     pub(crate) now: Now,
     pub(crate) hosts: BTreeMap<NodeId, Host>,
     pub(crate) cut: BTreeSet<(NodeId, NodeId)>,
     pub(crate) rng: Pcg64,
-    /// Chance of loss and of duplication of a message.
+    /// The probability that a message is lost.
     pub(crate) loss: f64,
+    /// The probability that a message is duplicated.
     pub(crate) twice: f64,
     pub(crate) delay: Duration,
     pub(crate) jitter: Duration,
     pub(crate) sync: Duration,
-    /// Hosts whose disk takes nothing any more.
+    /// Hosts whose disk no longer completes a write.
     pub(crate) stuck: BTreeSet<NodeId>,
-    /// The naive log: one copy, as whoever applies an index first tells it.
+    /// The reference log: one copy, filled by whichever node applies an index first.
     pub(crate) history: BTreeMap<Index, Entry>,
-    /// Outputs to callers: proposals placed and rejected.
+    /// Answers to proposals: placed or rejected.
     pub(crate) answers: Vec<(NodeId, Output)>,
-    /// Leaders that stepped down and why, in order.
+    /// The leaders that stepped down, and the reasons, in order.
     pub(crate) resigned: Vec<(NodeId, Resignation)>,
-    /// Messages delivered, in order.
+    /// Delivered messages, in order.
     pub(crate) sent: Vec<(NodeId, NodeId, Message)>,
     events: BTreeMap<(Now, u64), Event>,
     count: u64,
@@ -200,7 +201,7 @@
                 assert_eq!(
                     *known.or_insert_with(|| entry.clone()),
                     entry,
-                    "one entry an index"
+                    "one entry per index"
                 );
                 host.applied.insert(entry.index, entry);
             }
@@ -210,7 +211,7 @@
                 let same = |(i, e): (&Index, &Entry)| self.history.get(i) == Some(e);
                 assert!(
                     host.applied.iter().all(same),
-                    "a snapshot of what was applied"
+                    "the snapshot equals what was applied"
                 );
                 host.restored.push(index);
             }
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Lets all events up to the next tick happen, then ticks every node.
+    /// Handles all events up to the next tick, then ticks every node.
     pub(crate) fn tick(&mut self) {
         let end = self.now + TICK;
         while let Some(entry) = self.events.first_entry() {
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Runs until a condition holds, and tells how long that took.
+    /// Runs until a condition holds, and returns how long that took.
     pub(crate) fn until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !done(self) {
@@ -306,7 +307,7 @@
         let holds = |n: &&Node| n.lease_until().is_some_and(|until| self.now < until);
         let mut leaders = nodes.filter(holds).map(Node::id);
         let leader = leaders.next();
-        assert_eq!(leaders.next(), None, "two leases beside {leader:?}");
+        assert_eq!(leaders.next(), None, "a second lease beside that of {leader:?}");
         leader
     }
 
@@ -332,7 +333,7 @@
             .collect()
     }
 
-    /// Has a node's state machine hand in its image.
+    /// Makes a node's state machine pass in its snapshot.
     pub(crate) fn compact(&mut self, id: NodeId) {
         let applied = &self.hosts[&id].applied;
         let mut image = Vec::new();
@@ -347,7 +348,7 @@
         );
     }
 
-    /// Proposes to the leader and waits until it is committed there.
+    /// Proposes a command to the leader and waits until it is committed there.
     pub(crate) fn commit(&mut self, proposal: u64) {
         let leader = self.elect();
         self.propose(leader, proposal);
@@ -356,7 +357,7 @@
         });
     }
 
-    /// Asks the leader to change the voters and waits for it.
+    /// Asks the leader to change the voters and waits until the change is committed.
     pub(crate) fn reconfigure(&mut self, voters: &[NodeId]) {
         let leader = self.elect();
         let (proposal, voters) = (u64::MAX, voters.to_vec());
