--- a/src/adapters/disk/error.rs
+++ b/src/adapters/disk/error.rs
@@ -8,7 +8,7 @@
 
 use snafu::Snafu;
 
-use crate::core::{consensus::seam::Index, types::NodeId};
+use crate::core::{consensus::interface::Index, types::NodeId};
 
 /// A failure of the data folder.
 #[derive(Debug)]
--- a/src/adapters/disk/mirror.rs
+++ b/src/adapters/disk/mirror.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::consensus::seam::{Entry, Index, Record, Term};
+use crate::core::consensus::interface::{Entry, Index, Record, Term};
 
 use super::{Ballot, DiskError, Snapshot};
 
--- a/src/adapters/disk/mod.rs
+++ b/src/adapters/disk/mod.rs
@@ -53,7 +53,7 @@
 //! # Example
 //!
 //! ```
-//! use egretpin::{adapters::disk::Disk, core::consensus::seam::Record};
+//! use egretpin::{adapters::disk::Disk, core::consensus::interface::Record};
 //!
 //! let folder = tempfile::tempdir()?;
 //! let (mut disk, restored) = Disk::open(folder.path(), 1)?;
@@ -74,7 +74,7 @@
 use crate::core::{
     consensus::{
         self,
-        seam::{Entry, Index, Payload, Record, Term},
+        interface::{Entry, Index, Payload, Record, Term},
     },
     types::NodeId,
 };
--- a/src/adapters/disk/segment.rs
+++ b/src/adapters/disk/segment.rs
@@ -5,7 +5,7 @@
     path::{Path, PathBuf},
 };
 
-use crate::core::consensus::seam::Record;
+use crate::core::consensus::interface::Record;
 
 use super::{
     DiskError, Fault, Files, Step,
--- a/src/adapters/platform/message.rs
+++ b/src/adapters/platform/message.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{
-    consensus::seam::Index,
+    consensus::interface::Index,
     types::{Attempt, Generation, HostId, JobId, Resources},
 };
 
--- a/src/api/view/status.rs
+++ b/src/api/view/status.rs
@@ -5,7 +5,7 @@
 use crate::{
     api::Millis,
     core::{
-        consensus::seam::Index,
+        consensus::interface::Index,
         state::{Phase, Progress, State},
         types::{DataCentreId, NodeId, PoolId, PresetId, ServiceId, Version},
     },
--- a/src/core/consensus/config.rs
+++ b/src/core/consensus/config.rs
@@ -7,7 +7,7 @@
 
 use rand_pcg::Pcg64;
 
-use super::seam::{Index, Place};
+use super::interface::{Index, Place};
 use crate::core::types::{DataCentreId, NodeId};
 
 /// Test-only switches, each of which turns one protection off, so that a test can show that the
--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeSet;
 
 use super::{
+    interface::{Content, Term},
     leader::{Leader, Progress},
     message::{Message, Position},
     node::{Node, Role, Standing},
-    seam::{Content, Term},
 };
 use crate::core::types::NodeId;
 
--- a/src/core/consensus/feed.rs
+++ b/src/core/consensus/feed.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 
 use super::{
+    interface::{Entry, Index},
     message::Message,
     node::{Node, Standing},
-    seam::{Entry, Index},
     snapshot::{Answer, Transfer},
     source::Silence,
 };
--- a/src/core/consensus/leader.rs
+++ b/src/core/consensus/leader.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{
-    seam::{Index, Term},
+    interface::{Index, Term},
     snapshot::Transfer,
 };
 use crate::core::types::{NodeId, Now};
--- a/src/core/consensus/log.rs
+++ b/src/core/consensus/log.rs
@@ -1,9 +1,9 @@
 //! The log in memory: a snapshot, the entries after it, and how far they are on disk.
 
 use super::{
+    interface::{Content, Entry, Index, Term},
     message::Position,
     restored::Snapshot,
-    seam::{Content, Entry, Index, Term},
 };
 use crate::core::types::NodeId;
 
--- a/src/core/consensus/membership.rs
+++ b/src/core/consensus/membership.rs
@@ -6,10 +6,10 @@
 //! term: a change by an earlier leader may still stand in another node's log.
 
 use super::{
+    interface::{Content, Index, Output, Resignation},
     leader::{HandOver, Joining, Progress},
     message::Message,
     node::{Node, Role},
-    seam::{Content, Index, Output, Resignation},
 };
 use crate::core::types::NodeId;
 
--- a/src/core/consensus/message.rs
+++ b/src/core/consensus/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::seam::{Entry, Index, Payload, Term};
+use super::interface::{Entry, Index, Payload, Term};
 use crate::core::types::{NodeId, Now};
 
 /// An index in the log together with the term of the entry there.
--- a/src/core/consensus/mod.rs
+++ b/src/core/consensus/mod.rs
@@ -73,6 +73,7 @@
 mod config;
 mod election;
 mod feed;
+pub mod interface;
 mod leader;
 mod log;
 mod membership;
@@ -81,15 +82,14 @@
 mod outbox;
 mod replication;
 mod restored;
-pub mod seam;
 mod snapshot;
 mod source;
 mod view;
 
 pub use self::{
     config::{Config, Protections},
+    interface::{Content, Entry, Index, Input, Output, Payload, Record, Resignation, Term},
     message::{Message, Position, Verdict},
     node::{Node, Standing},
     restored::{Restored, Snapshot},
-    seam::{Content, Entry, Index, Input, Output, Payload, Record, Resignation, Term},
 };
--- a/src/core/consensus/node.rs
+++ b/src/core/consensus/node.rs
@@ -7,12 +7,12 @@
 use super::{
     config::Config,
     feed::Feed,
+    interface::{Content, Entry, Index, Input, Output, Record, Resignation, Term},
     leader::{Leader, quorum},
     log::Log,
     message::Message,
     outbox::Outbox,
     restored::Restored,
-    seam::{Content, Entry, Index, Input, Output, Record, Resignation, Term},
     snapshot::{Incoming, Part},
 };
 use crate::core::types::{NodeId, Now};
--- a/src/core/consensus/outbox.rs
+++ b/src/core/consensus/outbox.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use super::{
+    interface::{Index, Output, Record},
     message::Message,
-    seam::{Index, Output, Record},
 };
 use crate::core::types::{NodeId, Now};
 
--- a/src/core/consensus/replication.rs
+++ b/src/core/consensus/replication.rs
@@ -1,11 +1,11 @@
 //! Replication: the leader's entries reach the other voters' logs, and are committed.
 
 use super::{
+    interface::{Content, Entry, Index, Output, Payload, Record, Resignation, Term},
     leader::{Progress, quorum},
     message::{Message, Position, Verdict},
     node::{Node, Role, Standing},
     restored::Snapshot,
-    seam::{Content, Entry, Index, Output, Payload, Record, Resignation, Term},
     snapshot::Transfer,
 };
 use crate::core::types::{NodeId, Now};
--- a/src/core/consensus/restored.rs
+++ b/src/core/consensus/restored.rs
@@ -1,8 +1,8 @@
 //! The state that a node restores from its disk.
 
 use super::{
+    interface::{Entry, Payload, Record, Term},
     message::Position,
-    seam::{Entry, Payload, Record, Term},
 };
 use crate::core::types::NodeId;
 
--- a/src/core/consensus/snapshot.rs
+++ b/src/core/consensus/snapshot.rs
@@ -6,10 +6,10 @@
 //! or a restart on either side costs one heartbeat and no more.
 
 use super::{
+    interface::{Index, Payload, Term},
     message::{Message, Position},
     node::{Node, Standing},
     restored::Snapshot,
-    seam::{Index, Payload, Term},
 };
 use crate::core::types::{NodeId, Now};
 
--- a/src/core/consensus/view.rs
+++ b/src/core/consensus/view.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::{
+    interface::{Entry, Index, Term},
     message::Position,
     node::{Node, Role, Standing},
-    seam::{Entry, Index, Term},
 };
 use crate::core::types::{NodeId, Now};
 
--- a/src/core/state/events.rs
+++ b/src/core/state/events.rs
@@ -9,7 +9,7 @@
     waves::Progress,
 };
 use crate::core::{
-    consensus::seam::Index,
+    consensus::interface::Index,
     types::{Attempt, Generation, HostId, JobId, PoolId, Version, WaveId},
 };
 
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -70,7 +70,7 @@
 
 use crate::core::{
     claims::Table,
-    consensus::{Payload, seam::Index},
+    consensus::{Payload, interface::Index},
     types::Wall,
 };
 
--- a/src/core/state/requests.rs
+++ b/src/core/state/requests.rs
@@ -11,7 +11,7 @@
     reply::{Refusal, Reply},
 };
 use crate::core::{
-    consensus::seam::Index,
+    consensus::interface::Index,
     declaration::Declaration,
     types::{OperationId, PoolId, PresetId},
 };
--- a/src/manager/peers.rs
+++ b/src/manager/peers.rs
@@ -207,7 +207,7 @@
             .as_ref()
             .is_none_or(|v| v.controls != view.controls)
         {
-            let place = |(node, data_centre)| consensus::seam::Place { node, data_centre };
+            let place = |(node, data_centre)| consensus::interface::Place { node, data_centre };
             let places = controls.into_iter().map(place).collect();
             self.consensus(consensus::Input::Nodes(places));
         }
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -11,7 +11,7 @@
         Start, Started, Task, TaskReport, TaskState, Throttle,
     },
     core::{
-        consensus::seam::Index,
+        consensus::interface::Index,
         types::{Generation, HostId, JobId, Now, Resources},
     },
 };
--- a/tests/disk/world.rs
+++ b/tests/disk/world.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use egretpin::{
     adapters::disk::{Disk, DiskError, Files, Restored},
-    core::consensus::seam::{Content, Entry, Record},
+    core::consensus::interface::{Content, Entry, Record},
 };
 
 pub(crate) type Batch = Vec<Record>;
