--- a/tests/consensus/checks.rs
+++ b/tests/consensus/checks.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn one_leader_a_term() {
+fn at_most_one_leader_per_term() {
     let bounds = Bounds {
         timeouts: 2,
         restarts: 1,
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_lost_disk_loses_no_change() {
+fn a_lost_disk_loses_no_committed_entry() {
     let bounds = Bounds {
         timeouts: 1,
         proposals: 2,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn one_lease_at_once() {
+fn at_most_one_lease_at_a_time() {
     let bounds = Bounds {
         passes: 2,
         restarts: 1,
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_host_coming_back_deposes_nobody() {
+fn a_returning_host_deposes_no_leader() {
     let bounds = Bounds {
         timeouts: 3,
         proposals: 2,
@@ -220,7 +220,7 @@
 /// Guards against a node of another cluster that has the id of a voter: one was elected, and
 /// everything that had been committed was lost.
 #[test]
-fn a_stray_voter_of_another_cluster_counts_for_nothing() {
+fn a_voter_of_another_cluster_is_not_counted() {
     let bounds = Bounds {
         timeouts: 2,
         proposals: 1,
--- a/tests/consensus/elections.rs
+++ b/tests/consensus/elections.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_isolated_host_coming_back_disturbs_nobody() {
+fn a_returning_isolated_host_disturbs_no_leader() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let term = world.node(leader).term();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_leader_that_can_send_but_not_hear_steps_down() {
+fn a_leader_that_can_send_but_not_receive_steps_down() {
     let mut world = World::voters(3);
     let leader = world.elect();
     world.cut(&[1, 2, 3], &[leader]);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_leader_that_was_held_up_itself_asks_once_more_before_it_steps_down() {
+fn a_delayed_leader_waits_for_answers_once_more_before_it_steps_down() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let term = world.node(leader).term();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_leader_that_is_held_up_again_and_again_without_a_quorum_steps_down() {
+fn a_leader_delayed_repeatedly_without_a_quorum_steps_down() {
     let mut world = World::voters(3);
     let leader = world.elect();
     world.isolate(leader);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_leader_whose_disk_is_stuck_makes_way() {
+fn a_leader_with_a_stalled_disk_steps_down() {
     let mut world = World::voters(3);
     let old = world.elect();
     world.stuck.insert(old);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_voter_that_was_frozen_does_not_take_old_messages_for_news() {
+fn a_paused_voter_does_not_count_old_messages_as_contact() {
     let mut world = World::voters(3);
     let leader = world.elect();
     world.run(SECOND);
--- a/tests/consensus/followers.rs
+++ b/tests/consensus/learners.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn one_relay_a_data_centre_and_another_when_it_dies() {
+fn one_relay_per_data_centre_and_another_when_it_fails() {
     let mut world = world();
     assert!((5..=7).all(|id| world.node(id).relay() == Some(4)));
     world.sent.clear();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_relay_cut_off_from_voters_is_passed_over_and_fed_by_the_next() {
+fn a_relay_cut_off_from_voters_is_skipped_and_fed_by_the_next() {
     let mut world = world();
     world.cut(&VOTERS, &[4]);
     world.propose(world.leader().unwrap(), 1);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_follower_that_is_cut_off_names_no_leader() {
+fn a_learner_that_is_cut_off_names_no_leader() {
     let mut world = world();
     assert!(world.node(7).leader().is_some());
     world.isolate(7);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_data_centre_that_is_cut_off_names_no_leader_though_its_voter_was_passed_over() {
+fn a_data_centre_that_is_cut_off_names_no_leader_though_its_voter_was_skipped() {
     let places = ["lagos", "lagos", "ikeja", "ikeja", "lekki", "lekki"];
     let voters: [NodeId; 3] = [1, 3, 5];
     let place = |id: NodeId| {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_restarted_follower_catches_up_on_a_thousand_changes_in_a_few_round_trips() {
+fn a_restarted_learner_catches_up_on_a_thousand_changes_in_a_few_round_trips() {
     let mut world = world();
     world.crash(6);
     let leader = world.leader().unwrap();
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_follower_far_behind_gets_a_snapshot() {
+fn a_learner_far_behind_gets_a_snapshot() {
     let mut world = world();
     world.crash(6);
     let leader = world.leader().unwrap();
--- a/tests/consensus/main.rs
+++ b/tests/consensus/main.rs
@@ -2,7 +2,7 @@
 
 mod checks;
 mod elections;
-mod followers;
+mod learners;
 mod membership;
 mod model;
 mod random;
--- a/tests/consensus/membership.rs
+++ b/tests/consensus/membership.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_node_that_is_gone_holds_up_the_change_that_adds_it_for_two_seconds_at_most() {
+fn a_lost_node_holds_up_the_change_that_adds_it_for_two_seconds_at_most() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let voters = vec![1, 2, 3, 9];
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn the_former_leader_is_silent_from_when_it_was_last_heard() {
+fn the_former_leader_counts_as_silent_since_its_last_message() {
     let mut world = World::voters(3);
     let gone = world.elect();
     world.commit(1);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_node_that_is_about_to_end_begins_to_lead_no_more() {
+fn a_node_that_is_about_to_stop_does_not_become_leader() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let others: Vec<_> = (1..=3).filter(|&id| id != leader).collect();
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_change_that_waits_for_its_voter_is_answered_when_the_leader_falls() {
+fn a_change_that_waits_for_its_voter_is_rejected_when_the_leader_steps_down() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let voters = vec![1, 2, 3, 9];
--- a/tests/consensus/random.rs
+++ b/tests/consensus/random.rs
@@ -177,7 +177,7 @@
 // asked hosts that don't exist again and again (seed 0). A learner asked no other node after all
 // voters that it knew were replaced (seed 71).
 #[test]
-fn random_runs_equal_a_naive_log() {
+fn random_runs_match_the_reference_log() {
     let (mut committed, mut restored, mut replaced) = (0, 0, 0);
     for seed in seeds() {
         let mut run = Run::new(seed, &Protections::default());
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn random_runs_notice_a_disk_that_is_not_synced() {
+fn random_runs_detect_a_disk_that_is_not_synced() {
     let weak = Protections {
         sync: false,
         ..Protections::default()
@@ -259,7 +259,7 @@
 /// Only the leader's last change decides what a key allows. So once it is confirmed that a key was
 /// taken away, no node may serve that key: neither a former leader behind a cut link nor a new one.
 #[test]
-fn whoever_may_answer_knows_every_change_that_was_confirmed() {
+fn a_leader_with_a_lease_has_applied_every_confirmed_change() {
     let holds = |node: &Node, now| node.lease_until().is_some_and(|until| now < until);
     for seed in seeds() {
         assert_eq!(outdated(seed, holds), 0, "seed {seed}");
@@ -268,6 +268,6 @@
 
 /// The check above detects leaders that answer without a lease.
 #[test]
-fn without_a_lease_a_former_leader_answers_by_what_was_changed() {
+fn without_a_lease_a_former_leader_answers_from_old_state() {
     assert!(seeds().any(|seed| outdated(seed, |node, _| node.is_leader()) > 0));
 }
--- a/tests/consensus/replication.rs
+++ b/tests/consensus/replication.rs
@@ -9,7 +9,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn changes_reach_voters_and_followers_in_one_order() {
+fn changes_reach_voters_and_learners_in_one_order() {
     let voters = [1, 2, 3];
     let configs = (1..=6).map(|id| {
         let places = (1..=6).fold(config(id, &voters), |c, n| {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_entry_of_a_deposed_leader_gives_way() {
+fn an_uncommitted_entry_of_a_deposed_leader_is_replaced() {
     let mut world = World::voters(3);
     let old = world.elect();
     world.isolate(old);
