--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -21,27 +21,27 @@
     /// first, unless these are off.
     pub(super) fn campaign(&mut self) {
         self.leader = None;
-        self.postpone();
+        self.reset_election_deadline();
         if self.config.protections.pre_vote {
-            self.ask_pre_votes();
+            self.request_pre_votes();
         } else {
-            self.ask_votes(false);
+            self.request_votes(false);
         }
     }
 
-    fn ask_pre_votes(&mut self) {
+    fn request_pre_votes(&mut self) {
         let granted = BTreeSet::from([self.config.id]);
         let elected = self.is_majority(&granted);
         self.role = Role::PreCandidate { granted };
         if elected {
-            self.ask_votes(false);
+            self.request_votes(false);
             return;
         }
         let message = Message::PreVote {
             term: self.term + 1,
             last: self.log.last(),
         };
-        for voter in self.others() {
+        for voter in self.other_voters() {
             self.outbox.send(voter, message.clone());
         }
     }
@@ -49,7 +49,7 @@
     /// Campaigns in the next term. The requests wait until the candidate's own vote is on disk. A
     /// candidate that lost its vote in a crash could campaign again in the same term with a shorter
     /// log, and count votes that were given to the longer one.
-    pub(super) fn ask_votes(&mut self, handover: bool) {
+    pub(super) fn request_votes(&mut self, handover: bool) {
         let write = self.set_term(self.term + 1, Some(self.config.id));
         self.leader = None;
         self.role = Role::Candidate {
@@ -61,7 +61,7 @@
             last: self.log.last(),
             handover,
         };
-        for voter in self.others() {
+        for voter in self.other_voters() {
             self.outbox.send_synced(voter, message.clone());
         }
         self.count_own_vote();
@@ -78,9 +78,9 @@
         }
     }
 
-    pub(super) fn pre_vote(&mut self, from: NodeId, term: Term, last: Position) {
+    pub(super) fn on_pre_vote(&mut self, from: NodeId, term: Term, last: Position) {
         let fresh = term > self.term && last >= self.log.last();
-        let granted = fresh && self.may_vote() && !self.has_promise();
+        let granted = fresh && self.may_vote() && !self.is_bound_by_lease();
         let current = self.term;
         self.outbox.send(
             from,
@@ -92,7 +92,7 @@
         );
     }
 
-    pub(super) fn pre_vote_reply(
+    pub(super) fn on_pre_vote_reply(
         &mut self,
         from: NodeId,
         term: Term,
@@ -112,15 +112,15 @@
         granted.insert(from);
         let granted = granted.clone();
         if self.is_majority(&granted) {
-            self.ask_votes(false);
+            self.request_votes(false);
         }
     }
 
-    pub(super) fn vote(&mut self, from: NodeId, term: Term, last: Position, handover: bool) {
+    pub(super) fn on_vote(&mut self, from: NodeId, term: Term, last: Position, handover: bool) {
         if !self.may_vote() {
             return;
         }
-        if term < self.term || (self.has_promise() && !handover) {
+        if term < self.term || (self.is_bound_by_lease() && !handover) {
             let term = self.term;
             self.outbox.send_synced(
                 from,
@@ -138,13 +138,13 @@
         let granted = free && last >= self.log.last() && !self.is_leader();
         if granted && self.vote.is_none() {
             self.set_term(term, Some(from));
-            self.postpone();
+            self.reset_election_deadline();
         }
         self.outbox
             .send_synced(from, Message::VoteReply { term, granted });
     }
 
-    pub(super) fn vote_reply(&mut self, from: NodeId, term: Term, granted: bool) {
+    pub(super) fn on_vote_reply(&mut self, from: NodeId, term: Term, granted: bool) {
         if term > self.term {
             self.step_down(term);
             return;
@@ -163,20 +163,20 @@
             return;
         };
         if self.is_majority(granted) {
-            self.lead();
+            self.become_leader();
         }
     }
 
-    fn lead(&mut self) {
-        let former = self.former.zip(self.heard);
-        let mut leader = Leader::new(self.term, self.now, former);
+    fn become_leader(&mut self) {
+        let predecessor = self.last_leader.zip(self.leader_seen);
+        let mut leader = Leader::new(self.term, self.now, predecessor);
         let next = self.log.last().index + 1;
-        for voter in self.others() {
+        for voter in self.other_voters() {
             leader.peers.insert(voter, Progress::new(next));
         }
         self.role = Role::Leader(leader);
         self.leader = Some(self.config.id);
-        self.push(Content::Noop);
+        self.append_own(Content::Noop);
     }
 
     /// Whether this node votes at all. A node that isn't in its own list of voters votes, too: it
@@ -187,15 +187,15 @@
     }
 
     /// Whether a leader may rely on this node not to vote for another candidate.
-    fn has_promise(&self) -> bool {
+    fn is_bound_by_lease(&self) -> bool {
         if !self.config.protections.lease {
             return false;
         }
         if self.is_leader() {
             return true;
         }
-        self.heard
-            .is_some_and(|heard| self.now < heard + self.config.election_min)
+        self.leader_seen
+            .is_some_and(|seen| self.now < seen + self.config.election_min)
     }
 
     fn has_no_leader(&self) -> bool {
@@ -204,12 +204,12 @@
 
     /// Campaigns at the leader's request. The leader's lease ended when it sent the request, so
     /// votes may be granted at once.
-    pub(super) fn take_over(&mut self, from: NodeId, term: Term) {
+    pub(super) fn on_hand_over(&mut self, from: NodeId, term: Term) {
         let from_leader = self.leader == Some(from) || self.leader.is_none();
         let able = self.is_voter() && !self.retiring;
         if term == self.term && from_leader && able && !self.is_leader() {
-            self.postpone();
-            self.ask_votes(true);
+            self.reset_election_deadline();
+            self.request_votes(true);
         }
     }
 }
--- a/src/core/consensus/feed.rs
+++ b/src/core/consensus/feed.rs
@@ -12,25 +12,28 @@
     interface::{Entry, Index},
     message::Message,
     node::{Node, Standing},
-    snapshot::{Answer, Transfer},
-    source::Silence,
+    snapshot::{ChunkOutcome, Transfer},
+    source::Skip,
 };
 use crate::core::types::{NodeId, Now};
 
 /// How many times a learner subscribes in a feed timeout.
-const KEEPALIVES: u32 = 4;
+const SUBSCRIBES_PER_FEED_TIMEOUT: u32 = 4;
 /// For how many feed timeouts a subscription lasts.
-const SUBSCRIPTION: u32 = 2;
+const SUBSCRIPTION_FEED_TIMEOUTS: u32 = 2;
 /// For how many of the longest election timeouts a voter waits without a leader before it asks to
 /// be fed: it may have been removed without having received the change.
-const LEADERLESS: u32 = 2;
+const LEADERLESS_ELECTION_TIMEOUTS: u32 = 2;
 
 /// A node that this one feeds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Subscriber {
+    /// The next index to send.
     next: Index,
+    /// The subscriber's clock in its last subscription.
     sent: Now,
-    seen: Now,
+    /// When its last subscription, or answer to a chunk, arrived.
+    last_seen: Now,
     transfer: Option<Transfer>,
 }
 
@@ -38,14 +41,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Feed {
     pub(super) started: Now,
+    /// The node that feeds this one.
     pub(super) source: Option<NodeId>,
     /// Nodes that were asked to be the source and haven't answered yet, and since when.
     pub(super) trials: BTreeMap<NodeId, Now>,
     /// When the source last showed that it is in touch with a leader.
-    pub(super) fresh: Now,
+    pub(super) source_seen: Now,
+    /// The latest time, by this node's clock, at which the source was in touch with a leader.
     pub(super) contact: Option<Now>,
-    pub(super) asked: Option<Now>,
-    pub(super) silent: BTreeMap<NodeId, Silence>,
+    /// When this node last asked to be fed.
+    pub(super) subscribed_at: Option<Now>,
+    /// The silent sources, and until when each is skipped.
+    pub(super) skipped: BTreeMap<NodeId, Skip>,
     /// The voters as the last feed named them.
     pub(super) voters: Vec<NodeId>,
     pub(super) subscribers: BTreeMap<NodeId, Subscriber>,
@@ -57,10 +64,10 @@
             started: now,
             source: None,
             trials: BTreeMap::new(),
-            fresh: now,
+            source_seen: now,
             contact: None,
-            asked: None,
-            silent: BTreeMap::new(),
+            subscribed_at: None,
+            skipped: BTreeMap::new(),
             voters: Vec::new(),
             subscribers: BTreeMap::new(),
         }
@@ -91,11 +98,11 @@
         }
         self.expire_sources();
         self.forget_leader();
-        let interval = self.config.feed_timeout / KEEPALIVES;
-        let asked = self.feed.asked;
-        let due = asked.is_none_or(|asked| self.now >= asked + interval);
+        let interval = self.config.feed_timeout / SUBSCRIBES_PER_FEED_TIMEOUT;
+        let subscribed_at = self.feed.subscribed_at;
+        let due = subscribed_at.is_none_or(|at| self.now >= at + interval);
         if due {
-            self.ask_sources();
+            self.subscribe_to_sources();
         }
     }
 
@@ -103,9 +110,9 @@
         if self.is_leader() {
             return false;
         }
-        let patience = self.config.election_max * LEADERLESS;
-        let heard = self.heard.unwrap_or(self.feed.started);
-        !self.is_voter() || (self.leader.is_none() && self.now > heard + patience)
+        let patience = self.config.election_max * LEADERLESS_ELECTION_TIMEOUTS;
+        let seen = self.leader_seen.unwrap_or(self.feed.started);
+        !self.is_voter() || (self.leader.is_none() && self.now > seen + patience)
     }
 
     /// Clears a learner's leader once no source feeds the learner. If it went on naming the last
@@ -113,32 +120,34 @@
     /// can't come.
     fn forget_leader(&mut self) {
         let patience = self.config.feed_timeout;
-        let heard = self.heard.is_some_and(|heard| self.now < heard + patience);
-        if !self.is_voter() && self.feed.source.is_none() && !heard {
+        let in_touch = self
+            .leader_seen
+            .is_some_and(|seen| self.now < seen + patience);
+        if !self.is_voter() && self.feed.source.is_none() && !in_touch {
             self.leader = None;
         }
     }
 
     fn expire_subscribers(&mut self) {
-        let ttl = self.config.feed_timeout * SUBSCRIPTION;
+        let ttl = self.config.feed_timeout * SUBSCRIPTION_FEED_TIMEOUTS;
         let now = self.now;
-        self.feed.subscribers.retain(|_, s| now < s.seen + ttl);
+        self.feed.subscribers.retain(|_, s| now < s.last_seen + ttl);
     }
 
     /// Handles a node's request to be fed.
-    pub(super) fn subscribe(&mut self, from: NodeId, last: Index, sent: Now) {
-        let (next, seen) = (last + 1, self.now);
+    pub(super) fn on_subscribe(&mut self, from: NodeId, last: Index, sent: Now) {
+        let (next, last_seen) = (last + 1, self.now);
         let old = self.feed.subscribers.remove(&from);
         let transfer = old.and_then(|s| s.transfer).filter(|t| t.index() > last);
         let subscriber = Subscriber {
             next,
             sent,
-            seen,
+            last_seen,
             transfer,
         };
         self.feed.subscribers.insert(from, subscriber);
         self.send_feed(from);
-        self.feed_chunk(from);
+        self.send_feed_chunk(from);
     }
 
     /// Sends subscribers what has been committed since their last feed.
@@ -187,7 +196,7 @@
     }
 
     /// Sends the next part of the snapshot to a subscriber that needs one.
-    fn feed_chunk(&mut self, to: NodeId) {
+    fn send_feed_chunk(&mut self, to: NodeId) {
         let (size, now) = (self.config.chunk, self.now);
         let Some(subscriber) = self.feed.subscribers.get_mut(&to) else {
             return;
@@ -195,11 +204,11 @@
         let Some(transfer) = &mut subscriber.transfer else {
             return;
         };
-        let chunk = transfer.chunk(0, size, now);
+        let chunk = transfer.next_chunk(0, size, now);
         self.outbox.send(to, chunk);
     }
 
-    pub(super) fn feed_answered(&mut self, from: NodeId, index: Index, held: u64, sent: Now) {
+    pub(super) fn on_feed_chunk_reply(&mut self, from: NodeId, index: Index, held: u64, sent: Now) {
         let now = self.now;
         let Some(subscriber) = self.feed.subscribers.get_mut(&from) else {
             return;
@@ -207,13 +216,13 @@
         let Some(transfer) = &mut subscriber.transfer else {
             return;
         };
-        match transfer.answered(index, held, sent) {
-            Answer::Stale => {}
-            Answer::More => {
-                subscriber.seen = now;
-                self.feed_chunk(from);
+        match transfer.on_reply(index, held, sent) {
+            ChunkOutcome::Stale => {}
+            ChunkOutcome::More => {
+                subscriber.last_seen = now;
+                self.send_feed_chunk(from);
             }
-            Answer::Done(index) => {
+            ChunkOutcome::Done(index) => {
                 subscriber.transfer = None;
                 subscriber.next = subscriber.next.max(index + 1);
             }
@@ -228,7 +237,7 @@
 
     /// Handles a feed. Its entries are committed, so any sender may be believed, and entries of
     /// this log that differ from them were never committed.
-    pub(super) fn fed(&mut self, from: NodeId, feed: Message) {
+    pub(super) fn on_feed(&mut self, from: NodeId, feed: Message) {
         let Message::Feed {
             sent,
             lag,
@@ -250,10 +259,10 @@
         if self.standing == Standing::Unknown {
             return;
         }
-        self.rank_source(from, sent, lag);
+        self.adopt_source(from, sent, lag);
         self.learn_leader(from, lag, leader);
         self.feed.voters = voters;
-        self.take(prev, entries);
+        self.append_committed(prev, entries);
     }
 
     /// Takes the leader that a feed names. A learner believes its source. It believes other nodes
@@ -266,14 +275,14 @@
         }
     }
 
-    fn take(&mut self, prev: Index, entries: Vec<Entry>) {
+    fn append_committed(&mut self, prev: Index, entries: Vec<Entry>) {
         if prev > self.committed {
             return;
         }
         let Some(last) = entries.last().map(|e| e.index) else {
             return;
         };
-        self.merge(entries);
+        self.merge_entries(entries);
         self.committed = self.committed.max(last);
     }
 
--- a/src/core/consensus/interface.rs
+++ b/src/core/consensus/interface.rs
@@ -182,6 +182,7 @@
 #[derive(Deserialize, Serialize)]
 pub enum Record {
     /// Whether this disk may ever vote under its id; written once, before any other record.
+    #[serde(rename = "Standing")]
     Standing {
         /// False on a disk that was empty although its id was a voter already.
         voting: bool,
@@ -204,6 +205,7 @@
         /// The voters as of that index.
         voters: Vec<NodeId>,
         /// The state machine's snapshot.
+        #[serde(rename = "image")]
         image: Payload,
     },
 }
--- a/src/core/consensus/leader.rs
+++ b/src/core/consensus/leader.rs
@@ -16,13 +16,13 @@
     /// The last entry known to be on its disk and equal to the leader's.
     pub(super) matched: Index,
     /// When, by the leader's clock, it had sent the latest message that the node has answered.
-    pub(super) heard: Option<Now>,
+    pub(super) last_acked: Option<Now>,
     /// Whether it is still unknown up to where the logs match; then only one message is in flight.
     pub(super) probing: bool,
     /// The last index of each message with entries that is in flight.
     pub(super) in_flight: VecDeque<Index>,
     /// Since when no entry was confirmed although some are in flight.
-    pub(super) owing: Option<Now>,
+    pub(super) unconfirmed_since: Option<Now>,
     /// The snapshot that is being sent, if the log doesn't reach back far enough.
     pub(super) transfer: Option<Transfer>,
 }
@@ -30,14 +30,14 @@
 impl Progress {
     pub(super) fn new(next: Index) -> Self {
         let in_flight = VecDeque::new();
-        let (heard, owing, transfer) = (None, None, None);
+        let (last_acked, unconfirmed_since, transfer) = (None, None, None);
         Self {
             next,
             matched: 0,
-            heard,
+            last_acked,
             probing: true,
             in_flight,
-            owing,
+            unconfirmed_since,
             transfer,
         }
     }
@@ -52,7 +52,7 @@
     pub(super) fn sent(&mut self, now: Now, last: Index) {
         self.next = last + 1;
         self.in_flight.push_back(last);
-        self.owing.get_or_insert(now);
+        self.unconfirmed_since.get_or_insert(now);
     }
 
     /// Records that the node has everything up to an index.
@@ -69,9 +69,9 @@
             self.in_flight.pop_front();
         }
         if self.in_flight.is_empty() {
-            self.owing = None;
+            self.unconfirmed_since = None;
         } else if moved {
-            self.owing = Some(now);
+            self.unconfirmed_since = Some(now);
         }
     }
 
@@ -81,11 +81,11 @@
         self.next = hint.min(self.next).max(self.matched + 1);
         self.probing = true;
         self.in_flight.clear();
-        self.owing = None;
+        self.unconfirmed_since = None;
     }
 
-    pub(super) fn heard(&mut self, sent: Now) {
-        self.heard = self.heard.max(Some(sent));
+    pub(super) fn acked(&mut self, sent: Now) {
+        self.last_acked = self.last_acked.max(Some(sent));
     }
 }
 
@@ -116,32 +116,32 @@
     /// When it was elected.
     pub(super) elected: Now,
     /// The leader before this one, and when its last message arrived.
-    pub(super) former: Option<(NodeId, Now)>,
+    pub(super) predecessor: Option<(NodeId, Now)>,
     /// When the next heartbeat is due.
-    pub(super) beat: Now,
+    pub(super) heartbeat_due: Now,
     /// When it last gave a quorum another lease to answer, having been delayed itself.
-    pub(super) excused: Option<Now>,
+    pub(super) grace_start: Option<Now>,
     /// The other voters, and a node that is about to become one.
     pub(super) peers: BTreeMap<NodeId, Progress>,
     /// The change of voters that waits until its new voter has caught up.
     pub(super) joining: Option<Joining>,
     /// The hand-over of leadership that is under way.
-    pub(super) handing: Option<HandOver>,
+    pub(super) handover: Option<HandOver>,
 }
 
 impl Leader {
-    pub(super) fn new(term: Term, now: Now, former: Option<(NodeId, Now)>) -> Self {
+    pub(super) fn new(term: Term, now: Now, predecessor: Option<(NodeId, Now)>) -> Self {
         let peers = BTreeMap::new();
-        let (joining, handing) = (None, None);
+        let (joining, handover) = (None, None);
         Self {
             term,
             elected: now,
-            former,
-            beat: now,
-            excused: None,
+            predecessor,
+            heartbeat_due: now,
+            grace_start: None,
             peers,
             joining,
-            handing,
+            handover,
         }
     }
 }
--- a/src/core/consensus/log.rs
+++ b/src/core/consensus/log.rs
@@ -13,7 +13,7 @@
     snapshot: Snapshot,
     entries: Vec<Entry>,
     /// The indexes of the entries that change the voters.
-    changes: Vec<Index>,
+    voter_changes: Vec<Index>,
     /// The last index handed to the disk.
     written: Index,
     /// The last index known to be on disk.
@@ -22,11 +22,11 @@
 
 impl Log {
     pub(super) fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
-        let (kept, changes) = (Vec::new(), Vec::new());
+        let (kept, voter_changes) = (Vec::new(), Vec::new());
         let mut log = Self {
             snapshot,
             entries: kept,
-            changes,
+            voter_changes,
             written: 0,
             durable: 0,
         };
@@ -80,7 +80,7 @@
         let mut index = from;
         while index <= to && batch.len() < entries.max(1) {
             let Some(entry) = self.get(index) else { break };
-            size += weight(entry);
+            size += approximate_size(entry);
             if size > bytes && !batch.is_empty() {
                 break;
             }
@@ -94,7 +94,7 @@
     pub(super) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
         if matches!(entry.content, Content::Voters(_)) {
-            self.changes.push(entry.index);
+            self.voter_changes.push(entry.index);
         }
         self.entries.push(entry);
     }
@@ -105,13 +105,13 @@
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
         let last = self.last().index;
-        self.changes.retain(|&c| c <= last);
+        self.voter_changes.retain(|&c| c <= last);
         self.written = self.written.min(last);
         self.durable = self.durable.min(last);
     }
 
     /// Returns the entries not yet handed to the disk, and marks them as handed over.
-    pub(super) fn unwritten(&mut self) -> Vec<Entry> {
+    pub(super) fn take_unwritten(&mut self) -> Vec<Entry> {
         let from = usize::try_from(self.written - self.base()).unwrap_or(usize::MAX);
         self.written = self.last().index;
         self.entries[from..].to_vec()
@@ -137,7 +137,7 @@
 
     /// The voters as of an index.
     pub(super) fn voters_at(&self, index: Index) -> &[NodeId] {
-        let change = self.changes.iter().rev().find(|&&c| c <= index);
+        let change = self.voter_changes.iter().rev().find(|&&c| c <= index);
         match change.and_then(|&c| self.get(c)) {
             Some(Entry {
                 content: Content::Voters(voters),
@@ -148,8 +148,8 @@
     }
 
     /// The index of the last change of voters still in the log, or 0.
-    pub(super) fn last_change(&self) -> Index {
-        self.changes.last().copied().unwrap_or_default()
+    pub(super) fn last_voter_change(&self) -> Index {
+        self.voter_changes.last().copied().unwrap_or_default()
     }
 
     /// The first index, as far as the log reaches back, of the term of the entry at an index.
@@ -175,22 +175,22 @@
             self.entries.retain(|e| e.index > last.index);
         } else {
             self.entries.clear();
-            self.changes.clear();
+            self.voter_changes.clear();
             self.written = last.index;
             self.durable = self.durable.min(last.index);
         }
-        self.changes.retain(|&c| c > last.index);
+        self.voter_changes.retain(|&c| c > last.index);
         self.snapshot = snapshot;
         self.written = self.written.max(last.index);
     }
 }
 
 /// The approximate size of an entry in a message, in bytes.
-fn weight(entry: &Entry) -> usize {
-    const FRAME: usize = 24;
+fn approximate_size(entry: &Entry) -> usize {
+    const ENTRY_OVERHEAD_BYTES: usize = 24;
     match &entry.content {
-        Content::Noop => FRAME,
-        Content::Command(payload) => FRAME + payload.len(),
-        Content::Voters(voters) => FRAME + voters.len() * size_of::<NodeId>(),
+        Content::Noop => ENTRY_OVERHEAD_BYTES,
+        Content::Command(payload) => ENTRY_OVERHEAD_BYTES + payload.len(),
+        Content::Voters(voters) => ENTRY_OVERHEAD_BYTES + voters.len() * size_of::<NodeId>(),
     }
 }
--- a/src/core/consensus/membership.rs
+++ b/src/core/consensus/membership.rs
@@ -14,16 +14,16 @@
 use crate::core::types::NodeId;
 
 /// How many of the longest election timeouts a new voter has to catch up.
-const JOIN: u32 = 30;
+const JOIN_ELECTION_TIMEOUTS: u32 = 30;
 /// For how many of the longest election timeouts a new voter may answer nothing, or confirm none of
 /// the entries that it was sent. A node that is gone or whose disk hangs mustn't hold up the change
 /// that replaces another voter.
-const UNCONFIRMED: u32 = 1;
+const SILENCE_ELECTION_TIMEOUTS: u32 = 1;
 /// How many entries a new voter may lack when it is added.
-const CLOSE: Index = 16;
+const MAX_MISSING_ENTRIES: Index = 16;
 
 /// The effect of a change of voters.
-enum Change {
+enum VoterChange {
     Add(NodeId),
     Remove,
 }
@@ -32,12 +32,12 @@
     pub(super) fn reconfigure(&mut self, proposal: u64, mut voters: Vec<NodeId>) {
         voters.sort_unstable();
         voters.dedup();
-        match self.check_change(&voters) {
+        match self.classify_change(&voters) {
             None => self.reject(proposal),
-            Some(Change::Remove) => self.propose(proposal, Content::Voters(voters)),
-            Some(Change::Add(node)) => {
+            Some(VoterChange::Remove) => self.propose(proposal, Content::Voters(voters)),
+            Some(VoterChange::Add(node)) => {
                 let since = self.now;
-                self.join(Joining {
+                self.start_joining(Joining {
                     proposal,
                     voters,
                     node,
@@ -47,7 +47,7 @@
         }
     }
 
-    fn join(&mut self, joining: Joining) {
+    fn start_joining(&mut self, joining: Joining) {
         let next = self.log.last().index + 1;
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -57,11 +57,11 @@
         leader.joining = Some(joining);
         // The node lacks only what was written since it was last fed. A heartbeat now lets it
         // confirm that at once.
-        leader.beat = self.now;
+        leader.heartbeat_due = self.now;
     }
 
     /// The effect of a change, or `None` if it can't be made now.
-    fn check_change(&self, voters: &[NodeId]) -> Option<Change> {
+    fn classify_change(&self, voters: &[NodeId]) -> Option<VoterChange> {
         let Role::Leader(leader) = &self.role else {
             return None;
         };
@@ -70,8 +70,8 @@
             .filter(|v| !self.voters().contains(v))
             .collect();
         let removed = self.voters().iter().filter(|v| !voters.contains(v)).count();
-        let busy = leader.joining.is_some() || leader.handing.is_some();
-        let settled = self.log.last_change() <= self.committed && self.has_committed();
+        let busy = leader.joining.is_some() || leader.handover.is_some();
+        let settled = self.log.last_voter_change() <= self.committed && self.has_committed();
         let single = added.len() + removed == 1 && settled && !busy;
         let allowed = single || !self.config.protections.single_step;
         if voters.is_empty() || !allowed {
@@ -80,7 +80,7 @@
         Some(
             added
                 .first()
-                .map_or(Change::Remove, |&&node| Change::Add(node)),
+                .map_or(VoterChange::Remove, |&&node| VoterChange::Add(node)),
         )
     }
 
@@ -89,7 +89,7 @@
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        leader.joining.is_some() || self.log.last_change() > self.committed
+        leader.joining.is_some() || self.log.last_voter_change() > self.committed
     }
 
     /// Whether this leader has committed an entry of its own term.
@@ -100,15 +100,15 @@
     }
 
     /// Advances what a leader has under way besides replication.
-    pub(super) fn tend(&mut self) {
-        self.tend_joining();
-        self.tend_removed();
-        self.tend_handover();
+    pub(super) fn advance_changes(&mut self) {
+        self.advance_joining();
+        self.drop_removed();
+        self.advance_handover();
     }
 
     /// Adds a new voter once it has caught up so far that it won't hold up the majority that needs
     /// it. Rejects the change if that takes too long.
-    fn tend_joining(&mut self) {
+    fn advance_joining(&mut self) {
         let (now, last) = (self.now, self.log.last().index);
         let wait = self.config.election_max;
         let Role::Leader(leader) = &mut self.role else {
@@ -119,10 +119,17 @@
         };
         let peer = leader.peers.get(&node);
         let matched = peer.map_or(0, |p| p.matched);
-        let close = matched > 0 && matched + CLOSE >= last;
-        let heard = peer.and_then(|p| p.heard).unwrap_or_default().max(since);
-        let confirmed = peer.and_then(|p| p.owing).unwrap_or(now).min(heard);
-        let waits = now < since + wait * JOIN && now < confirmed.max(since) + wait * UNCONFIRMED;
+        let close = matched > 0 && matched + MAX_MISSING_ENTRIES >= last;
+        let acked = peer
+            .and_then(|p| p.last_acked)
+            .unwrap_or_default()
+            .max(since);
+        let confirmed = peer
+            .and_then(|p| p.unconfirmed_since)
+            .unwrap_or(now)
+            .min(acked);
+        let waits = now < since + wait * JOIN_ELECTION_TIMEOUTS
+            && now < confirmed.max(since) + wait * SILENCE_ELECTION_TIMEOUTS;
         if !close && waits {
             return;
         }
@@ -140,8 +147,8 @@
 
     /// Drops the progress of removed voters once their removal is committed, and hands leadership
     /// over if this node is one of them.
-    fn tend_removed(&mut self) {
-        if self.log.last_change() > self.committed {
+    fn drop_removed(&mut self) {
+        if self.log.last_voter_change() > self.committed {
             return;
         }
         let voters = self.voters().to_vec();
@@ -152,7 +159,7 @@
         leader
             .peers
             .retain(|node, _| voters.contains(node) || joining == Some(*node));
-        if !voters.contains(&self.config.id) && leader.handing.is_none() {
+        if !voters.contains(&self.config.id) && leader.handover.is_none() {
             self.hand_over(None);
         }
     }
@@ -169,7 +176,7 @@
         };
         let named = to.filter(|v| voters.contains(v) && leader.peers.contains_key(v));
         let to = if to.is_some() { named } else { best };
-        leader.handing = to.map(|to| HandOver { to, until });
+        leader.handover = to.map(|to| HandOver { to, until });
     }
 
     fn most_advanced(&self) -> Option<NodeId> {
@@ -191,23 +198,23 @@
     /// Steps down in favour of the chosen voter once that has all entries. A leader that asked
     /// another node to campaign never leads in this term again, so its lease needs no further
     /// revocation.
-    fn tend_handover(&mut self) {
+    fn advance_handover(&mut self) {
         let (now, last, term) = (self.now, self.log.last().index, self.term);
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(HandOver { to, until }) = leader.handing else {
+        let Some(HandOver { to, until }) = leader.handover else {
             return;
         };
         let matched = leader.peers.get(&to).map_or(0, |p| p.matched);
         if matched == last {
-            leader.handing = None;
+            leader.handover = None;
             self.outbox.send(to, Message::HandOver { term });
             if self.config.protections.recall {
                 self.resign(Resignation::HandedOver);
             }
         } else if now >= until {
-            leader.handing = None;
+            leader.handover = None;
         }
     }
 
@@ -218,6 +225,6 @@
 
     /// Whether this leader accepts no proposals because it is handing leadership over.
     pub fn is_handing(&self) -> bool {
-        matches!(&self.role, Role::Leader(leader) if leader.handing.is_some())
+        matches!(&self.role, Role::Leader(leader) if leader.handover.is_some())
     }
 }
--- a/src/core/consensus/message.rs
+++ b/src/core/consensus/message.rs
@@ -84,6 +84,7 @@
         /// The leader's clock in the message that is answered.
         sent: Now,
         /// The outcome.
+        #[serde(rename = "verdict")]
         verdict: Verdict,
     },
     /// The leader asks the receiver to campaign at once.
--- a/src/core/consensus/node.rs
+++ b/src/core/consensus/node.rs
@@ -13,7 +13,7 @@
     message::Message,
     outbox::Outbox,
     restored::Restored,
-    snapshot::{Incoming, Part},
+    snapshot::{Chunk, IncomingSnapshot},
 };
 use crate::core::types::{NodeId, Now};
 
@@ -47,9 +47,9 @@
 
 /// A pause of the process: a time without steps at least as long as a leader's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Frozen {
+pub(super) struct Pause {
     /// When this node was last in contact with a leader before the pause.
-    pub(super) heard: Option<Now>,
+    pub(super) leader_seen: Option<Now>,
     /// Until when messages from before the pause may still arrive.
     pub(super) until: Now,
 }
@@ -65,7 +65,7 @@
     pub(super) role: Role,
     pub(super) leader: Option<NodeId>,
     /// The leader that last sent something, possibly long ago.
-    pub(super) former: Option<NodeId>,
+    pub(super) last_leader: Option<NodeId>,
     /// Whether this node is about to stop, so that it must not become leader.
     pub(super) retiring: bool,
     pub(super) log: Log,
@@ -73,15 +73,15 @@
     pub(super) applied: Index,
     /// When a leader's message last arrived. A restart counts as one, because a promise to a leader
     /// from before it may still be in force.
-    pub(super) heard: Option<Now>,
+    pub(super) leader_seen: Option<Now>,
     /// The last pause of this process, after which messages may arrive that were sent before it.
-    pub(super) frozen: Option<Frozen>,
+    pub(super) pause: Option<Pause>,
     /// When the next campaign is due.
-    pub(super) deadline: Now,
+    pub(super) election_deadline: Now,
     pub(super) outbox: Outbox,
     pub(super) feed: Feed,
     /// The snapshot that is being received.
-    pub(super) incoming: Option<Incoming>,
+    pub(super) incoming: Option<IncomingSnapshot>,
 }
 
 impl Node {
@@ -90,8 +90,8 @@
         // A lease as long as a voter's promise would leave no margin for clocks that drift apart.
         config.lease = config.lease.min(config.election_min * 9 / 10);
         let outbox = Outbox::new(now, config.disk, config.protections.sync);
-        let blank = restored.is_empty();
-        let unborn = restored.is_unborn();
+        let is_empty = restored.is_empty();
+        let is_uninitialized = restored.is_uninitialized();
         let snapshot = restored.snapshot.unwrap_or_default();
         let base = snapshot.last.index;
         let mut node = Self {
@@ -101,31 +101,31 @@
             vote: restored.vote,
             role: Role::Follower,
             leader: None,
-            former: None,
+            last_leader: None,
             retiring: false,
             log: Log::new(snapshot, restored.entries),
             committed: base,
             applied: base,
-            heard: (!blank).then_some(now),
-            frozen: None,
-            deadline: now,
+            leader_seen: (!is_empty).then_some(now),
+            pause: None,
+            election_deadline: now,
             outbox,
             feed: Feed::new(now),
             incoming: None,
             config,
         };
         node.restore();
-        if unborn {
+        if is_uninitialized {
             node.bootstrap();
         }
-        node.postpone();
+        node.reset_election_deadline();
         node
     }
 
     /// Handles one input and returns what to do, in order. Times must not decrease from one call to
     /// the next.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Output> {
-        self.notice_freeze(now);
+        self.detect_pause(now);
         self.now = self.now.max(now);
         self.outbox.now = self.now;
         match input {
@@ -141,19 +141,19 @@
             Input::Synced { write } => self.synced(write),
             Input::Compact { index, image } => self.compact(index, image),
         }
-        self.settle();
+        self.advance();
         self.outbox.drain()
     }
 
     /// Detects a pause of the process. After one, its sockets hold old messages, which say nothing
     /// about the present.
-    fn notice_freeze(&mut self, now: Now) {
+    fn detect_pause(&mut self, now: Now) {
         if now < self.now + self.config.lease {
             return;
         }
-        let heard = self.contact().filter(|_| !self.is_leader());
+        let leader_seen = self.contact().filter(|_| !self.is_leader());
         let until = now + self.config.feed_timeout;
-        self.frozen = Some(Frozen { heard, until });
+        self.pause = Some(Pause { leader_seen, until });
     }
 
     /// Starts a new cluster. The first entry is the same on all its voters, so that a node that is
@@ -196,39 +196,39 @@
     fn tick(&mut self) {
         match self.role {
             Role::Leader(_) => self.tick_leader(),
-            _ if self.may_campaign() && self.now >= self.deadline => self.campaign(),
+            _ if self.may_campaign() && self.now >= self.election_deadline => self.campaign(),
             _ => {}
         }
         self.tick_feed();
     }
 
     fn may_campaign(&self) -> bool {
-        self.is_voter() && !self.is_stalled() && !self.retiring
+        self.is_voter() && !self.is_disk_stalled() && !self.retiring
     }
 
     /// Whether a write has waited for the disk for the longest election timeout or more. Such a
     /// node would hold up every change if it led.
-    pub(super) fn is_stalled(&self) -> bool {
-        let oldest = self.outbox.oldest();
-        oldest.is_some_and(|since| self.now >= since + self.config.election_max)
+    pub(super) fn is_disk_stalled(&self) -> bool {
+        let oldest_write = self.outbox.oldest_write();
+        oldest_write.is_some_and(|since| self.now >= since + self.config.election_max)
     }
 
     fn receive(&mut self, from: NodeId, message: Message) {
         match message {
-            Message::PreVote { term, last } => self.pre_vote(from, term, last),
+            Message::PreVote { term, last } => self.on_pre_vote(from, term, last),
             Message::PreVoteReply {
                 term,
                 current,
                 granted,
             } => {
-                self.pre_vote_reply(from, term, current, granted);
+                self.on_pre_vote_reply(from, term, current, granted);
             }
             Message::Vote {
                 term,
                 last,
                 handover,
-            } => self.vote(from, term, last, handover),
-            Message::VoteReply { term, granted } => self.vote_reply(from, term, granted),
+            } => self.on_vote(from, term, last, handover),
+            Message::VoteReply { term, granted } => self.on_vote_reply(from, term, granted),
             Message::Append {
                 term,
                 prev,
@@ -237,7 +237,7 @@
                 sent,
             } => {
                 if self.accept_leader(from, term, sent) {
-                    self.append(from, prev, entries, committed, sent);
+                    self.on_append(from, prev, entries, committed, sent);
                 }
             }
             Message::AppendReply {
@@ -245,11 +245,11 @@
                 sent,
                 verdict,
             } => {
-                self.append_reply(from, term, sent, verdict);
+                self.on_append_reply(from, term, sent, verdict);
             }
-            Message::HandOver { term } => self.take_over(from, term),
-            Message::Subscribe { last, sent } => self.subscribe(from, last, sent),
-            Message::Feed { .. } => self.fed(from, message),
+            Message::HandOver { term } => self.on_hand_over(from, term),
+            Message::Subscribe { last, sent } => self.on_subscribe(from, last, sent),
+            Message::Feed { .. } => self.on_feed(from, message),
             Message::Chunk {
                 term,
                 last,
@@ -259,9 +259,9 @@
                 part,
                 sent,
             } => {
-                self.chunk(
+                self.on_chunk(
                     from,
-                    Part {
+                    Chunk {
                         term,
                         last,
                         voters,
@@ -272,7 +272,7 @@
                     },
                 );
             }
-            Message::ChunkReply { .. } => self.chunk_reply(from, &message),
+            Message::ChunkReply { .. } => self.on_chunk_reply(from, &message),
         }
     }
 
@@ -283,11 +283,11 @@
     }
 
     /// Does whatever an input may have made possible: replicate, commit, apply and feed.
-    fn settle(&mut self) {
+    fn advance(&mut self) {
         if self.is_leader() {
             self.replicate();
-            self.commit();
-            self.tend();
+            self.advance_commit();
+            self.advance_changes();
         } else {
             self.flush();
         }
@@ -300,7 +300,7 @@
         if self.log.is_written() {
             return;
         }
-        let entries = self.log.unwritten();
+        let entries = self.log.take_unwritten();
         self.outbox
             .write(Record::Append(entries), self.log.written());
         if self.outbox.is_instant() {
@@ -319,14 +319,14 @@
     }
 
     /// Draws the time of the next campaign. From a range of one value nothing is drawn.
-    pub(super) fn postpone(&mut self) {
+    pub(super) fn reset_election_deadline(&mut self) {
         let (min, max) = (self.config.election_min, self.config.election_max);
         let wait = if min < max {
             self.config.rng.random_range(min..max)
         } else {
             min
         };
-        self.deadline = self.now + wait;
+        self.election_deadline = self.now + wait;
     }
 
     /// Enters a term with a vote, which replaces the vote of the term before, and returns the
@@ -360,7 +360,7 @@
         let term = leader.term;
         let waiting = leader.joining.as_ref().map(|j| j.proposal);
         self.leader = None;
-        self.postpone();
+        self.reset_election_deadline();
         waiting
             .into_iter()
             .for_each(|proposal| self.reject(proposal));
@@ -369,7 +369,7 @@
     }
 
     /// The other voters.
-    pub(super) fn others(&self) -> Vec<NodeId> {
+    pub(super) fn other_voters(&self) -> Vec<NodeId> {
         let voters = self.voters().iter().copied();
         voters.filter(|&v| v != self.config.id).collect()
     }
@@ -381,15 +381,15 @@
     }
 
     /// The latest time at which the leader had sent a quorum what it has since answered.
-    pub(super) fn quorum_heard(&self) -> Option<Now> {
+    pub(super) fn quorum_acked(&self) -> Option<Now> {
         let Role::Leader(leader) = &self.role else {
             return None;
         };
-        let heard = self.voters().iter().map(|v| match leader.peers.get(v) {
-            Some(peer) => peer.heard,
+        let acked = self.voters().iter().map(|v| match leader.peers.get(v) {
+            Some(peer) => peer.last_acked,
             None => Some(self.now),
         });
-        quorum(heard.collect())
+        quorum(acked.collect())
     }
 }
 
--- a/src/core/consensus/outbox.rs
+++ b/src/core/consensus/outbox.rs
@@ -10,22 +10,22 @@
 
 /// A message that may leave only after a write is synced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct Deferred {
     to: NodeId,
     message: Message,
 }
 
 /// A write that isn't known to be on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Pending {
+struct PendingWrite {
     write: u64,
     since: Now,
     /// How far the log is on disk once this write is; lowered when the log is truncated in the
     /// meantime.
-    log: Index,
+    log_end: Index,
     /// Whether it records a term and vote.
     ballot: bool,
-    held: Vec<Held>,
+    deferred: Vec<Deferred>,
 }
 
 /// Collects outputs in order. A message passed to [`Outbox::send_synced`] leaves only after every
@@ -34,8 +34,8 @@
 pub(super) struct Outbox {
     /// The time of the current step.
     pub(super) now: Now,
-    out: Vec<Output>,
-    pending: VecDeque<Pending>,
+    outputs: Vec<Output>,
+    pending: VecDeque<PendingWrite>,
     written: u64,
     disk: bool,
     sync: bool,
@@ -45,10 +45,10 @@
     /// Without a disk nothing is written, and every write counts as synced. With `sync` off, which
     /// is for tests, nothing waits for the disk.
     pub(super) fn new(now: Now, disk: bool, sync: bool) -> Self {
-        let (out, pending) = (Vec::new(), VecDeque::new());
+        let (outputs, pending) = (Vec::new(), VecDeque::new());
         Self {
             now,
-            out,
+            outputs,
             pending,
             written: 0,
             disk,
@@ -57,68 +57,68 @@
     }
 
     pub(super) fn drain(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     pub(super) fn push(&mut self, output: Output) {
-        self.out.push(output);
+        self.outputs.push(output);
     }
 
     /// Sends a message at once.
     pub(super) fn send(&mut self, to: NodeId, message: Message) {
-        self.out.push(Output::Send { to, message });
+        self.outputs.push(Output::Send { to, message });
     }
 
     /// Sends a message once all writes so far are synced.
     pub(super) fn send_synced(&mut self, to: NodeId, message: Message) {
         match self.pending.back_mut() {
-            Some(pending) if self.sync => pending.held.push(Held { to, message }),
+            Some(pending) if self.sync => pending.deferred.push(Deferred { to, message }),
             _ => self.send(to, message),
         }
     }
 
-    /// Writes a record and returns the number of the write. `log` is how far the log is on disk
-    /// once the record is.
-    pub(super) fn write(&mut self, record: Record, log: Index) -> u64 {
+    /// Writes a record and returns the number of the write. `log_end` is how far the log is on
+    /// disk once the record is.
+    pub(super) fn write(&mut self, record: Record, log_end: Index) -> u64 {
         if !self.disk {
             return 0;
         }
         self.written += 1;
         let write = self.written;
         let ballot = matches!(record, Record::Ballot { .. });
-        let (since, held) = (self.now, Vec::new());
-        self.pending.push_back(Pending {
+        let (since, deferred) = (self.now, Vec::new());
+        self.pending.push_back(PendingWrite {
             write,
             since,
-            log,
+            log_end,
             ballot,
-            held,
+            deferred,
         });
-        self.out.push(Output::Write { write, record });
+        self.outputs.push(Output::Write { write, record });
         write
     }
 
     /// Records that everything up to a write is on disk, and sends the messages that waited for it.
     /// Returns how far the log is on disk.
     pub(super) fn synced(&mut self, write: u64) -> Index {
-        let mut log = 0;
+        let mut log_end = 0;
         while self.pending.front().is_some_and(|p| p.write <= write) {
             let Some(pending) = self.pending.pop_front() else {
                 break;
             };
-            log = log.max(pending.log);
-            for held in pending.held {
-                self.send(held.to, held.message);
+            log_end = log_end.max(pending.log_end);
+            for deferred in pending.deferred {
+                self.send(deferred.to, deferred.message);
             }
         }
-        log
+        log_end
     }
 
     /// Records that the log was truncated at an index: pending writes no longer make entries at or
     /// after it durable.
     pub(super) fn truncated(&mut self, from: Index) {
         for pending in &mut self.pending {
-            pending.log = pending.log.min(from - 1);
+            pending.log_end = pending.log_end.min(from - 1);
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// When the oldest pending write was issued.
-    pub(super) fn oldest(&self) -> Option<Now> {
+    pub(super) fn oldest_write(&self) -> Option<Now> {
         self.pending.front().map(|p| p.since)
     }
 
--- a/src/core/consensus/replication.rs
+++ b/src/core/consensus/replication.rs
@@ -11,15 +11,15 @@
 use crate::core::types::{NodeId, Now};
 
 /// How many writes of a leader may be pending before new entries wait to be written together.
-const WRITES: usize = 2;
+const MAX_PENDING_WRITES: usize = 2;
 
 impl Node {
     pub(super) fn propose(&mut self, proposal: u64, content: Content) {
-        if !self.is_leader() || self.is_handing() || self.is_full() {
+        if !self.is_leader() || self.is_handing() || self.is_backlog_full() {
             self.reject(proposal);
             return;
         }
-        let Position { term, index } = self.push(content);
+        let Position { term, index } = self.append_own(content);
         self.outbox.push(Output::Placed {
             proposal,
             term,
@@ -28,12 +28,12 @@
     }
 
     /// Whether so many entries wait to be committed that no more are accepted.
-    fn is_full(&self) -> bool {
+    fn is_backlog_full(&self) -> bool {
         self.log.last().index - self.committed >= self.config.backlog
     }
 
     /// Appends an entry to the leader's own log.
-    pub(super) fn push(&mut self, content: Content) -> Position {
+    pub(super) fn append_own(&mut self, content: Content) -> Position {
         let index = self.log.last().index + 1;
         self.log.push(Entry {
             term: self.term,
@@ -45,9 +45,10 @@
 
     /// Sends heartbeats, and steps down when no quorum answers any more or the disk has stalled.
     pub(super) fn tick_leader(&mut self) {
-        let unheard = self.config.protections.lease && self.is_unheard() && !self.excuse();
-        if unheard || self.is_stalled() {
-            self.resign(if unheard {
+        let quorum_lost =
+            self.config.protections.lease && self.has_lost_quorum() && !self.grant_grace();
+        if quorum_lost || self.is_disk_stalled() {
+            self.resign(if quorum_lost {
                 Resignation::Unheard
             } else {
                 Resignation::Stalled
@@ -59,16 +60,16 @@
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if now < leader.beat {
+        if now < leader.heartbeat_due {
             return;
         }
-        leader.beat = now + heartbeat;
-        self.beat();
+        leader.heartbeat_due = now + heartbeat;
+        self.send_heartbeats();
     }
 
     /// Sends every peer a message to answer; unless it is a chunk of a snapshot, it also carries
     /// the committed index.
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
@@ -80,37 +81,37 @@
         }
     }
 
-    fn is_unheard(&self) -> bool {
+    fn has_lost_quorum(&self) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let heard = self.quorum_heard().max(leader.excused);
-        let heard = heard.unwrap_or_default().max(leader.elected);
-        self.now >= heard + self.config.lease
+        let acked = self.quorum_acked().max(leader.grace_start);
+        let acked = acked.unwrap_or_default().max(leader.elected);
+        self.now >= acked + self.config.lease
     }
 
     /// Whether a leader that no quorum answered may wait for answers once more. If its own
     /// heartbeat is overdue by a whole interval, it was delayed itself, so the silence says nothing
     /// about the others, which may still wait for it. Stepping down would cost a needless election.
     /// This doesn't extend its lease, and it happens once between two answers of a quorum.
-    fn excuse(&mut self) -> bool {
+    fn grant_grace(&mut self) -> bool {
         let (now, heartbeat) = (self.now, self.config.heartbeat);
-        let heard = self.quorum_heard();
+        let acked = self.quorum_acked();
         let Role::Leader(leader) = &mut self.role else {
             return false;
         };
-        let held_up = now >= leader.beat + heartbeat;
-        let answered = leader.excused.is_none() || heard > leader.excused;
-        if held_up && answered {
-            leader.excused = Some(now);
+        let delayed = now >= leader.heartbeat_due + heartbeat;
+        let answered = leader.grace_start.is_none() || acked > leader.grace_start;
+        if delayed && answered {
+            leader.grace_start = Some(now);
         }
-        held_up && answered
+        delayed && answered
     }
 
     /// Hands new entries to the disk and to the peers. While writes are pending, new entries
     /// accumulate, so that under load many share one write and one message.
     pub(super) fn replicate(&mut self) {
-        if self.outbox.pending() < WRITES {
+        if self.outbox.pending() < MAX_PENDING_WRITES {
             self.flush();
         }
         let Role::Leader(leader) = &self.role else {
@@ -194,7 +195,7 @@
         let Some(transfer) = &mut peer.transfer else {
             return false;
         };
-        let chunk = transfer.chunk(term, size, now);
+        let chunk = transfer.next_chunk(term, size, now);
         self.outbox.send(to, chunk);
         true
     }
@@ -209,7 +210,7 @@
     /// Commits what a majority has on disk, if the last of these entries is of this leader's term.
     /// An older entry on a majority can still be overwritten by a leader that lacks it. Once an
     /// entry of this term is committed after it, such a leader can't be elected any more.
-    pub(super) fn commit(&mut self) {
+    pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
@@ -224,7 +225,7 @@
         if index > self.committed && counts {
             self.committed = index;
             // Lets the others apply the entries now instead of at the next heartbeat.
-            self.beat();
+            self.send_heartbeats();
         }
     }
 
@@ -240,14 +241,14 @@
         }
         self.step_down(term);
         self.leader = Some(from);
-        self.former = Some(from);
-        self.heard = Some(self.now);
-        self.postpone();
+        self.last_leader = Some(from);
+        self.leader_seen = Some(self.now);
+        self.reset_election_deadline();
         true
     }
 
     /// Handles a leader's entries, or its heartbeat.
-    pub(super) fn append(
+    pub(super) fn on_append(
         &mut self,
         from: NodeId,
         prev: Position,
@@ -256,13 +257,13 @@
         sent: Now,
     ) {
         let heartbeat = entries.is_empty();
-        if !self.follows(prev) {
-            let reply = self.reply(sent, Verdict::Conflict(self.hint(prev)));
+        if !self.contains(prev) {
+            let reply = self.reply(sent, Verdict::Conflict(self.conflict_hint(prev)));
             self.outbox.send_synced(from, reply);
             return;
         }
         let last = prev.index + entries.len() as Index;
-        self.merge(entries);
+        self.merge_entries(entries);
         self.committed = self.committed.max(committed.min(last));
         if heartbeat && self.outbox.is_ballot_synced() {
             // The lease needs no entries on disk, so a slow disk doesn't cost the leader its
@@ -287,13 +288,13 @@
 
     /// Whether this log contains a position. All that the snapshot covers was committed, so it
     /// contains that.
-    fn follows(&self, prev: Position) -> bool {
+    fn contains(&self, prev: Position) -> bool {
         prev.index < self.log.base() || self.log.position(prev.index) == Some(prev)
     }
 
     /// Where the leader should try next: after the log's end, or at the start of the term that
     /// differs, so that a whole term is skipped in one round trip.
-    fn hint(&self, prev: Position) -> Index {
+    fn conflict_hint(&self, prev: Position) -> Index {
         let last = self.log.last().index;
         if prev.index > last {
             return last + 1;
@@ -302,13 +303,13 @@
     }
 
     /// Adds entries, truncating the log where it differs from them.
-    pub(super) fn merge(&mut self, entries: Vec<Entry>) {
+    pub(super) fn merge_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
-            let here = self.log.position(entry.index).map(|p| p.term);
-            if entry.index <= self.log.base() || here == Some(entry.term) {
+            let existing = self.log.position(entry.index).map(|p| p.term);
+            if entry.index <= self.log.base() || existing == Some(entry.term) {
                 continue;
             }
-            if here.is_some() {
+            if existing.is_some() {
                 self.log.truncate(entry.index);
                 self.outbox.truncated(entry.index);
             }
@@ -318,7 +319,12 @@
 
     /// Records a node's answer to what was sent at `sent`, and returns the node's progress, if this
     /// node still leads the term of the answer. A later term makes this node step down.
-    pub(super) fn hear(&mut self, from: NodeId, term: Term, sent: Now) -> Option<&mut Progress> {
+    pub(super) fn record_answer(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        sent: Now,
+    ) -> Option<&mut Progress> {
         if term > self.term {
             self.step_down(term);
             return None;
@@ -327,14 +333,20 @@
             return None;
         }
         let peer = self.peer(from)?;
-        peer.heard(sent);
+        peer.acked(sent);
         Some(peer)
     }
 
     /// Handles a node's answer to entries or a heartbeat.
-    pub(super) fn append_reply(&mut self, from: NodeId, term: Term, sent: Now, verdict: Verdict) {
+    pub(super) fn on_append_reply(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        sent: Now,
+        verdict: Verdict,
+    ) {
         let now = self.now;
-        let Some(peer) = self.hear(from, term, sent) else {
+        let Some(peer) = self.record_answer(from, term, sent) else {
             return;
         };
         match verdict {
@@ -352,7 +364,7 @@
             return;
         };
         let voters = self.log.voters_at(index).to_vec();
-        self.install(Snapshot {
+        self.install_snapshot(Snapshot {
             last,
             voters,
             image,
@@ -360,7 +372,7 @@
     }
 
     /// Makes a snapshot the log's start, in memory and on disk.
-    pub(super) fn install(&mut self, snapshot: Snapshot) {
+    pub(super) fn install_snapshot(&mut self, snapshot: Snapshot) {
         let Position { term, index } = snapshot.last;
         let (voters, image) = (snapshot.voters.clone(), snapshot.image.clone());
         self.log.compact(snapshot);
--- a/src/core/consensus/restored.rs
+++ b/src/core/consensus/restored.rs
@@ -67,7 +67,7 @@
                 image,
             } => {
                 let last = Position { term, index };
-                self.cut(Snapshot {
+                self.install_snapshot(Snapshot {
                     last,
                     voters,
                     image,
@@ -110,7 +110,7 @@
 
     /// Whether this disk never held a log or a vote, so that a new cluster may be bootstrapped on
     /// it. This includes a disk whose first start crashed between its first two records.
-    pub(super) fn is_unborn(&self) -> bool {
+    pub(super) fn is_uninitialized(&self) -> bool {
         let empty = self.entries.is_empty() && self.snapshot.is_none() && self.term == 0;
         empty && self.voting != Some(false)
     }
@@ -124,7 +124,7 @@
 
     /// Installs a snapshot. Keeps the entries after it if they follow from it. A log that differs
     /// at the snapshot's end was never committed there and is dropped whole.
-    fn cut(&mut self, snapshot: Snapshot) {
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
         let follows = self.entries.iter().any(|e| {
             let here = Position {
                 term: e.term,
--- a/src/core/consensus/snapshot.rs
+++ b/src/core/consensus/snapshot.rs
@@ -17,7 +17,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Transfer {
     snapshot: Snapshot,
+    /// How many bytes the receiver last reported to hold.
     held: u64,
+    /// When the chunk in flight was sent; `None` once it is answered.
     sent: Option<Now>,
 }
 
@@ -31,7 +33,7 @@
     }
 
     /// The next chunk, or the last one again.
-    pub(super) fn chunk(&mut self, term: Term, size: usize, now: Now) -> Message {
+    pub(super) fn next_chunk(&mut self, term: Term, size: usize, now: Now) -> Message {
         let image = &self.snapshot.image;
         let total = image.len() as u64;
         let start = usize::try_from(self.held)
@@ -61,24 +63,24 @@
     }
 
     /// Handles the answer to a chunk, and ignores answers to older messages.
-    pub(super) fn answered(&mut self, index: Index, held: u64, sent: Now) -> Answer {
+    pub(super) fn on_reply(&mut self, index: Index, held: u64, sent: Now) -> ChunkOutcome {
         if index != self.snapshot.last.index || self.sent != Some(sent) {
-            return Answer::Stale;
+            return ChunkOutcome::Stale;
         }
         self.sent = None;
         self.held = held;
         let total = self.snapshot.image.len() as u64;
         if held >= total {
-            Answer::Done(index)
+            ChunkOutcome::Done(index)
         } else {
-            Answer::More
+            ChunkOutcome::More
         }
     }
 }
 
 /// What the answer to a chunk means for its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Answer {
+pub(super) enum ChunkOutcome {
     Stale,
     More,
     /// The whole snapshot is on the receiver's disk, up to this index.
@@ -87,13 +89,13 @@
 
 /// A snapshot that is being received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     last: Position,
-    image: Vec<u8>,
+    bytes: Vec<u8>,
 }
 
 /// A received chunk of a snapshot.
-pub(super) struct Part {
+pub(super) struct Chunk {
     pub(super) term: Term,
     pub(super) last: Position,
     pub(super) voters: Vec<NodeId>,
@@ -105,18 +107,18 @@
 
 impl Node {
     /// Handles a chunk, from the leader or from a feed.
-    pub(super) fn chunk(&mut self, from: NodeId, part: Part) {
-        let (term, last, sent, total) = (part.term, part.last, part.sent, part.total);
+    pub(super) fn on_chunk(&mut self, from: NodeId, chunk: Chunk) {
+        let (term, last, sent, total) = (chunk.term, chunk.last, chunk.sent, chunk.total);
         if term > 0 && !self.accept_leader(from, term, sent) {
             return;
         }
-        if term == 0 && !self.takes_chunks(from) {
+        if term == 0 && !self.accepts_chunks(from) {
             return;
         }
-        self.touch_source(from);
+        self.refresh_source(from);
         let index = last.index;
         if index <= self.committed {
-            self.answer_chunk(
+            self.send_chunk_reply(
                 from,
                 Message::ChunkReply {
                     term,
@@ -127,11 +129,11 @@
             );
             return;
         }
-        let held = self.gather(&part);
+        let held = self.add_chunk(&chunk);
         if held >= total {
-            self.receive_snapshot(last, part.voters);
+            self.finish_snapshot(last, chunk.voters);
         }
-        self.answer_chunk(
+        self.send_chunk_reply(
             from,
             Message::ChunkReply {
                 term,
@@ -142,38 +144,40 @@
         );
     }
 
-    /// Whether to accept a chunk from a feed. Only one sender is accepted at a time, the leader
-    /// before the source: chunks of two snapshots would undo each other.
-    fn takes_chunks(&self, from: NodeId) -> bool {
+    /// Whether to accept a chunk from a feed. Only one sender is accepted at a time, and
+    /// a leader goes before the source: chunks of two snapshots would undo each other.
+    fn accepts_chunks(&self, from: NodeId) -> bool {
         let timeout = self.config.feed_timeout;
-        let led = self.heard.is_some_and(|heard| self.now < heard + timeout);
+        let led = self
+            .leader_seen
+            .is_some_and(|seen| self.now < seen + timeout);
         let known = self.standing != Standing::Unknown;
         known && !led && !self.is_leader() && self.relay() == Some(from)
     }
 
     /// Adds a chunk if it continues what has been received, and returns how many bytes there are.
-    fn gather(&mut self, part: &Part) -> u64 {
-        let fresh = Incoming {
-            last: part.last,
-            image: Vec::new(),
+    fn add_chunk(&mut self, chunk: &Chunk) -> u64 {
+        let fresh = IncomingSnapshot {
+            last: chunk.last,
+            bytes: Vec::new(),
         };
         let incoming = self.incoming.get_or_insert_with(|| fresh.clone());
-        if incoming.last != part.last {
+        if incoming.last != chunk.last {
             *incoming = fresh;
         }
-        if part.offset == incoming.image.len() as u64 {
-            incoming.image.extend_from_slice(&part.part);
+        if chunk.offset == incoming.bytes.len() as u64 {
+            incoming.bytes.extend_from_slice(&chunk.part);
         }
-        incoming.image.len() as u64
+        incoming.bytes.len() as u64
     }
 
-    fn receive_snapshot(&mut self, last: Position, voters: Vec<NodeId>) {
+    fn finish_snapshot(&mut self, last: Position, voters: Vec<NodeId>) {
         let Some(incoming) = self.incoming.take() else {
             return;
         };
-        let image = Payload::from(incoming.image);
+        let image = Payload::from(incoming.bytes);
         self.flush();
-        self.install(Snapshot {
+        self.install_snapshot(Snapshot {
             last,
             voters,
             image,
@@ -185,12 +189,12 @@
 
     /// Sends an answer once all writes so far are synced: one that reports the whole snapshot must
     /// not precede the snapshot on disk.
-    fn answer_chunk(&mut self, to: NodeId, message: Message) {
+    fn send_chunk_reply(&mut self, to: NodeId, message: Message) {
         self.outbox.send_synced(to, message);
     }
 
     /// Handles a node's answer to a chunk that this node sent as leader or in a feed.
-    pub(super) fn chunk_reply(&mut self, from: NodeId, reply: &Message) {
+    pub(super) fn on_chunk_reply(&mut self, from: NodeId, reply: &Message) {
         let &Message::ChunkReply {
             term,
             index,
@@ -201,17 +205,17 @@
             return;
         };
         if term == 0 {
-            self.feed_answered(from, index, held, sent);
+            self.on_feed_chunk_reply(from, index, held, sent);
             return;
         }
         let now = self.now;
-        let Some(peer) = self.hear(from, term, sent) else {
+        let Some(peer) = self.record_answer(from, term, sent) else {
             return;
         };
         let Some(transfer) = &mut peer.transfer else {
             return;
         };
-        if let Answer::Done(index) = transfer.answered(index, held, sent) {
+        if let ChunkOutcome::Done(index) = transfer.on_reply(index, held, sent) {
             peer.transfer = None;
             peer.matched(now, index);
         }
--- a/src/core/consensus/source.rs
+++ b/src/core/consensus/source.rs
@@ -11,16 +11,16 @@
 
 /// For how many feed timeouts a silent source is skipped the first time. The time doubles whenever
 /// the source is silent again.
-const PASS_OVER: u32 = 8;
+const SKIP_FEED_TIMEOUTS: u32 = 8;
 /// How many times it doubles at most.
-const DOUBLINGS: u32 = 6;
+const MAX_SKIP_DOUBLINGS: u32 = 6;
 /// How many sources may be asked at once while none feeds this node. They are added one by one, so
 /// that the first to answer is the only one to do so.
-const TRIALS: usize = 4;
+const MAX_TRIALS: usize = 4;
 
 /// A source that doesn't answer, or that isn't in touch with a leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Silence {
+pub(super) struct Skip {
     /// Until when it is skipped.
     until: Now,
     /// How many times in a row it was silent.
@@ -34,7 +34,7 @@
         let source = self
             .feed
             .source
-            .filter(|_| now >= self.feed.fresh + timeout);
+            .filter(|_| now >= self.feed.source_seen + timeout);
         if source.is_some() {
             self.feed.source = None;
         }
@@ -44,31 +44,33 @@
             .map(|(&n, _)| n);
         let silent: Vec<_> = source.into_iter().chain(late).collect();
         for node in silent {
-            self.pass_over(node);
+            self.skip_source(node);
         }
     }
 
     /// Skips a source for a while, and lets another be asked at once.
-    fn pass_over(&mut self, node: NodeId) {
+    fn skip_source(&mut self, node: NodeId) {
         self.feed.trials.remove(&node);
-        self.feed.asked = None;
-        let times = self.feed.silent.get(&node).map_or(0, |s| s.times);
-        let wait = self.config.feed_timeout * PASS_OVER * 2_u32.pow(times.min(DOUBLINGS));
-        let silence = Silence {
+        self.feed.subscribed_at = None;
+        let times = self.feed.skipped.get(&node).map_or(0, |s| s.times);
+        let wait = self.config.feed_timeout
+            * SKIP_FEED_TIMEOUTS
+            * 2_u32.pow(times.min(MAX_SKIP_DOUBLINGS));
+        let skip = Skip {
             until: self.now + wait,
             times: times + 1,
         };
-        self.feed.silent.insert(node, silence);
+        self.feed.skipped.insert(node, skip);
     }
 
     /// Asks the source, and one node that ranks before it. The old source stays until the better
     /// one has answered, so that trying a dead node causes no gap. Without a source a few nodes are
     /// asked.
-    pub(super) fn ask_sources(&mut self) {
+    pub(super) fn subscribe_to_sources(&mut self) {
         let now = self.now;
-        self.feed.asked = Some(now);
+        self.feed.subscribed_at = Some(now);
         let source = self.feed.source;
-        let limit = if source.is_some() { 1 } else { TRIALS };
+        let limit = if source.is_some() { 1 } else { MAX_TRIALS };
         if self.feed.trials.len() < limit
             && let Some(node) = self.next_source()
         {
@@ -84,23 +86,23 @@
 
     /// The best source that ranks before the present one and is neither being asked nor skipped.
     fn next_source(&self) -> Option<NodeId> {
-        let sources = self.sources();
+        let sources = self.ranked_sources();
         let better = sources.iter().take_while(|&&n| self.feed.source != Some(n));
-        let is_passed = |n: &NodeId| {
-            let silence = self.feed.silent.get(n);
-            silence.is_some_and(|silence| self.now < silence.until)
+        let is_skipped = |n: &NodeId| {
+            let skip = self.feed.skipped.get(n);
+            skip.is_some_and(|skip| self.now < skip.until)
         };
         // Two nodes that fed each other would both become stale before they noticed.
         let is_fed = |n: &NodeId| self.feed.subscribers.contains_key(n);
         let is_asked = |n: &NodeId| self.feed.trials.contains_key(n);
-        let mut open = better.filter(|n| !is_asked(n) && !is_passed(n) && !is_fed(n));
+        let mut open = better.filter(|n| !is_asked(n) && !is_skipped(n) && !is_fed(n));
         let idle = self.feed.source.is_none() && self.feed.trials.is_empty();
         // When all are skipped, the first is as good as any, and one must be asked.
         open.next().or(sources.first().filter(|_| idle)).copied()
     }
 
     /// All nodes that could feed this one, best first.
-    fn sources(&self) -> Vec<NodeId> {
+    fn ranked_sources(&self) -> Vec<NodeId> {
         let id = self.config.id;
         let voters = self.known_voters();
         let home = self.data_centre(id);
@@ -147,20 +149,24 @@
 
     /// Adopts a node as the source if it is in touch with a leader and ranks before the present
     /// one.
-    pub(super) fn rank_source(&mut self, from: NodeId, sent: Now, lag: Now) {
+    pub(super) fn adopt_source(&mut self, from: NodeId, sent: Now, lag: Now) {
         if lag >= self.config.feed_timeout {
             return;
         }
-        self.feed.silent.remove(&from);
+        self.feed.skipped.remove(&from);
         let asked = self.feed.trials.remove(&from).is_some();
-        let sources = if asked { self.sources() } else { Vec::new() };
+        let sources = if asked {
+            self.ranked_sources()
+        } else {
+            Vec::new()
+        };
         let rank = |node| sources.iter().position(|&n| Some(n) == node);
         let before = rank(self.feed.source).is_none_or(|s| rank(Some(from)) < Some(s));
         if asked && before {
             self.feed.source = Some(from);
         }
         if self.feed.source == Some(from) {
-            self.feed.fresh = self.now;
+            self.feed.source_seen = self.now;
             let contact = sent.saturating_sub(lag);
             self.feed.contact = self.feed.contact.max(Some(contact));
         }
@@ -168,9 +174,9 @@
 
     /// Records that a chunk of a snapshot came from a node; if that node is the source, it is
     /// alive.
-    pub(super) fn touch_source(&mut self, from: NodeId) {
+    pub(super) fn refresh_source(&mut self, from: NodeId) {
         if self.feed.source == Some(from) {
-            self.feed.fresh = self.now;
+            self.feed.source_seen = self.now;
         }
     }
 }
--- a/src/core/consensus/view.rs
+++ b/src/core/consensus/view.rs
@@ -10,7 +10,7 @@
 use crate::core::types::{NodeId, Now};
 
 /// How many heartbeats a new leader sends to its predecessor before it may count it as silent.
-const FIRST_BEATS: u32 = 4;
+const PREDECESSOR_HEARTBEATS: u32 = 4;
 
 impl Node {
     /// The node's id.
@@ -41,10 +41,10 @@
         let Role::Leader(leader) = &self.role else {
             return None;
         };
-        if leader.handing.is_some() || !self.has_committed() {
+        if leader.handover.is_some() || !self.has_committed() {
             return None;
         }
-        Some(self.quorum_heard()? + self.config.lease)
+        Some(self.quorum_acked()? + self.config.lease)
     }
 
     /// On the leader, the voters that for `limit` have answered nothing, or have confirmed no entry
@@ -60,16 +60,16 @@
             let Some(peer) = leader.peers.get(voter) else {
                 return false;
             };
-            let former = leader.former.filter(|(former, _)| former == *voter);
-            let since = match (peer.heard, former) {
-                (Some(heard), _) => heard.max(leader.elected),
-                (None, Some((_, heard))) => {
-                    let grace = self.config.heartbeat * FIRST_BEATS;
-                    heard.max((leader.elected + grace).saturating_sub(limit))
+            let predecessor = leader.predecessor.filter(|(node, _)| node == *voter);
+            let since = match (peer.last_acked, predecessor) {
+                (Some(acked), _) => acked.max(leader.elected),
+                (None, Some((_, seen))) => {
+                    let grace = self.config.heartbeat * PREDECESSOR_HEARTBEATS;
+                    seen.max((leader.elected + grace).saturating_sub(limit))
                 }
                 (None, None) => leader.elected,
             };
-            let since = peer.owing.unwrap_or(since).min(since);
+            let since = peer.unconfirmed_since.unwrap_or(since).min(since);
             self.now >= since + limit
         };
         self.voters().iter().filter(silent).copied().collect()
@@ -119,12 +119,12 @@
     /// first contact.
     pub fn contact(&self) -> Option<Now> {
         if self.is_leader() {
-            return self.quorum_heard();
+            return self.quorum_acked();
         }
         if !self.is_voter() {
             return self.feed.contact();
         }
-        let frozen = self.frozen.filter(|f| self.heard < Some(f.until));
-        frozen.map_or(self.heard, |f| f.heard)
+        let pause = self.pause.filter(|p| self.leader_seen < Some(p.until));
+        pause.map_or(self.leader_seen, |p| p.leader_seen)
     }
 }
--- a/tests/consensus/checks.rs
+++ b/tests/consensus/checks.rs
@@ -12,9 +12,9 @@
 use crate::model::{Appends, Bounds, Model, State};
 
 const TWO_LEADERS: &str = "two leaders in a term";
-const LACKS: &str = "a leader lacks a committed entry";
+const MISSING_ENTRY: &str = "a leader lacks a committed entry";
 const TWO_LEASES: &str = "two leases at once";
-const DEPOSED: &str = "a leader with a quorum was deposed";
+const LEADER_DEPOSED: &str = "a leader with a quorum was deposed";
 
 /// A search with a name for the printed report.
 struct Check {
@@ -58,12 +58,12 @@
     let bounds = Bounds {
         timeouts: 2,
         restarts: 1,
-        lazy: 1,
-        twice: 1,
+        late_syncs: 1,
+        redeliveries: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).bare().only(&[1, 2, 3], &[3]);
-    model.appends = Appends::Lost;
+    let mut model = Model::new(bounds).safety_only().restrict(&[1, 2, 3], &[3]);
+    model.appends = Appends::None;
     check("one leader", model, Model::start)
         .holds()
         .fails("sync", TWO_LEADERS, |p| p.sync = false)
@@ -76,13 +76,13 @@
         timeouts: 1,
         proposals: 2,
         restarts: 1,
-        lazy: 1,
+        late_syncs: 1,
         ..Bounds::default()
     };
-    let model = Model::new(bounds).bare().only(&[3], &[2]);
+    let model = Model::new(bounds).safety_only().restrict(&[3], &[2]);
     check("durability", model, Model::elected)
         .holds()
-        .fails("sync", LACKS, |p| p.sync = false);
+        .fails("sync", MISSING_ENTRY, |p| p.sync = false);
 }
 
 #[test]
@@ -92,10 +92,10 @@
 
         ..Bounds::default()
     };
-    let model = Model::new(bounds).bare().only(&[1, 3], &[]);
-    check("own term", model, Model::divided)
+    let model = Model::new(bounds).safety_only().restrict(&[1, 3], &[]);
+    check("own term", model, Model::split)
         .holds()
-        .fails("own term", LACKS, |p| p.own_term = false);
+        .fails("own term", MISSING_ENTRY, |p| p.own_term = false);
 }
 
 #[test]
@@ -103,25 +103,25 @@
     let bounds = Bounds {
         timeouts: 1,
         proposals: 2,
-        wipes: 1,
+        disk_losses: 1,
         ..Bounds::default()
     };
-    let model = Model::new(bounds).bare().only(&[3], &[2]);
+    let model = Model::new(bounds).safety_only().restrict(&[3], &[2]);
     check("lost disk", model, Model::elected)
         .holds()
-        .fails("standing", LACKS, |p| p.standing = false);
+        .fails("standing", MISSING_ENTRY, |p| p.standing = false);
 }
 
 #[test]
 fn at_most_one_lease_at_a_time() {
     let bounds = Bounds {
-        passes: 2,
+        clock_steps: 2,
         restarts: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).only(&[1, 2], &[3]);
-    model.appends = Appends::Heartbeats;
-    model.limit = 15;
+    let mut model = Model::new(bounds).restrict(&[1, 2], &[3]);
+    model.appends = Appends::All;
+    model.max_depth = 15;
     check("lease", model, Model::elected)
         .holds()
         .fails("lease", TWO_LEASES, |p| p.lease = false);
@@ -130,13 +130,13 @@
 #[test]
 fn a_hand_over_ends_the_lease_first() {
     let bounds = Bounds {
-        passes: 1,
+        clock_steps: 1,
         handovers: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).only(&[1, 2], &[]);
-    model.appends = Appends::Heartbeats;
-    model.limit = 10;
+    let mut model = Model::new(bounds).restrict(&[1, 2], &[]);
+    model.appends = Appends::All;
+    model.max_depth = 10;
     check("hand-over", model, Model::elected)
         .holds()
         .fails("recall", TWO_LEASES, |p| p.recall = false);
@@ -149,12 +149,12 @@
         proposals: 2,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).only(&[3], &[]);
-    model.steady = true;
+    let mut model = Model::new(bounds).restrict(&[3], &[]);
+    model.keeps_leader = true;
     check("returning host", model, Model::elected)
         .holds()
-        .fails("pre-vote", DEPOSED, |p| p.pre_vote = false)
-        .fails("lease", DEPOSED, |p| p.lease = false);
+        .fails("pre-vote", LEADER_DEPOSED, |p| p.pre_vote = false)
+        .fails("lease", LEADER_DEPOSED, |p| p.lease = false);
 }
 
 #[test]
@@ -165,12 +165,12 @@
         proposals: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).bare().only(&[2, 3], &[]);
+    let mut model = Model::new(bounds).safety_only().restrict(&[2, 3], &[]);
     model.joiners = vec![4, 5];
-    model.lists = vec![vec![1, 4, 5]];
+    model.voter_lists = vec![vec![1, 4, 5]];
     check("one change of voters", model, Model::elected)
         .holds()
-        .fails("single step", LACKS, |p| p.single_step = false);
+        .fails("single step", MISSING_ENTRY, |p| p.single_step = false);
 }
 
 #[test]
@@ -182,7 +182,7 @@
         restarts: 1,
         ..Bounds::default()
     };
-    let model = Model::new(bounds).bare().only(&[2], &[3]);
+    let model = Model::new(bounds).safety_only().restrict(&[2], &[3]);
     check("snapshots", model, Model::elected).holds();
 }
 
@@ -194,7 +194,7 @@
         restarts: 1,
         ..Bounds::default()
     };
-    let model = Model::new(bounds).only(&[2, 3], &[3]);
+    let model = Model::new(bounds).restrict(&[2, 3], &[3]);
     check("all protections", model, Model::elected).holds();
 }
 
@@ -228,18 +228,18 @@
     };
     let knowing = [claim(1, 7, true), claim(2, 7, true)];
     let late = [claim(1, 7, true), claim(2, 7, false)];
-    for (ours, stray) in [
+    for (ours, foreign) in [
         (knowing.clone(), claim(3, 8, true)),
         (knowing, claim(3, 8, false)),
         (late, claim(3, 8, true)),
     ] {
-        let mut model = Model::new(bounds).bare().only(&[2, 3], &[]);
-        model.claims = ours.into_iter().chain([stray]).collect();
-        let check = check("foreign voter", model, Model::strayed).holds();
+        let mut model = Model::new(bounds).safety_only().restrict(&[2, 3], &[]);
+        model.claims = ours.into_iter().chain([foreign]).collect();
+        let check = check("foreign voter", model, Model::with_foreign_voter).holds();
         let mut weak = check.model.clone();
         weak.claims.clear();
         let found = check.search(&weak, "foreign voter without the check");
-        assert_eq!(found, Some(LACKS));
+        assert_eq!(found, Some(MISSING_ENTRY));
     }
 }
 
@@ -251,11 +251,11 @@
         proposals: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).bare().only(&[2], &[]);
+    let mut model = Model::new(bounds).safety_only().restrict(&[2], &[]);
     model.joiners = vec![4];
-    model.lists = vec![vec![1, 2, 4], vec![1, 2, 3, 4]];
-    model.limit = 22;
+    model.voter_lists = vec![vec![1, 2, 4], vec![1, 2, 3, 4]];
+    model.max_depth = 22;
     check("two changes", model, Model::elected)
         .holds()
-        .fails("single step", LACKS, |p| p.single_step = false);
+        .fails("single step", MISSING_ENTRY, |p| p.single_step = false);
 }
--- a/tests/consensus/elections.rs
+++ b/tests/consensus/elections.rs
@@ -106,7 +106,7 @@
 fn a_leader_with_a_stalled_disk_steps_down() {
     let mut world = World::voters(3);
     let old = world.elect();
-    world.stuck.insert(old);
+    world.stalled_disks.insert(old);
     world.propose(old, 1);
     world.until(SECOND * 5, |w| w.leader().is_some_and(|l| l != old));
     assert_eq!(world.resigned, [(old, Resignation::Stalled)]);
--- a/tests/consensus/learners.rs
+++ b/tests/consensus/learners.rs
@@ -13,7 +13,7 @@
 const VOTERS: [NodeId; 3] = [1, 2, 3];
 
 /// Voters 1 to 3 in three data centres, learners 4 to 7 in a fourth.
-fn place(id: NodeId) -> Config {
+fn node_config(id: NodeId) -> Config {
     let places = ["lagos", "ikeja", "lekki"];
     (1..=7).fold(config(id, &VOTERS).disk(id <= 3), |config, node| {
         config.place(
@@ -24,7 +24,7 @@
 }
 
 fn world() -> World {
-    let mut world = World::new((1..=7).map(place).collect());
+    let mut world = World::new((1..=7).map(node_config).collect());
     world.elect();
     // Relays that had no contact with a leader before the first election are tried again after a
     // while.
@@ -169,8 +169,6 @@
     };
     let learner = (5..=7).map(rate).max().unwrap();
     let (leader, relay) = (rate(leader), rate(4));
-    println!(
-        "idle bytes a second, in and out: leader {leader}, relay {relay}, learner {learner}"
-    );
+    println!("idle bytes a second, in and out: leader {leader}, relay {relay}, learner {learner}");
     assert!(leader.max(relay).max(learner) < 5_000);
 }
--- a/tests/consensus/membership.rs
+++ b/tests/consensus/membership.rs
@@ -144,7 +144,7 @@
     let leader = world.elect();
     let hung = leader % 3 + 1;
     world.commit(1);
-    world.stuck.insert(hung);
+    world.stalled_disks.insert(hung);
     let limit = SECOND * 3 / 2;
     world.run(SECOND * 3);
     assert!(
@@ -165,7 +165,7 @@
     world.add(directory);
     world.until(SECOND * 2, |w| w.node(4).standing() == Standing::Member);
     world.run(SECOND);
-    world.stuck.insert(4);
+    world.stalled_disks.insert(4);
     world.commit(2);
     world.input(
         leader,
--- a/tests/consensus/model.rs
+++ b/tests/consensus/model.rs
@@ -30,7 +30,7 @@
 pub(crate) const UNIT: Duration = Duration::from_millis(100);
 
 /// The last term in the cluster that the foreign voter comes from.
-const STRAY: Term = 4;
+const FOREIGN_TERM: Term = 4;
 
 /// How many steps of each kind a search may take.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -38,17 +38,17 @@
     /// A host's own clock advances beyond its election deadline.
     pub(crate) timeouts: u8,
     /// All clocks advance by one unit, and hosts may tick at any time.
-    pub(crate) passes: u8,
+    pub(crate) clock_steps: u8,
     /// A leader receives a command.
     pub(crate) proposals: u8,
     /// A host crashes and restarts.
     pub(crate) restarts: u8,
     /// A host's writes stay unsynced for a while.
-    pub(crate) lazy: u8,
+    pub(crate) late_syncs: u8,
     /// A message is delivered and kept for another delivery.
-    pub(crate) twice: u8,
+    pub(crate) redeliveries: u8,
     /// A host loses its disk and starts again.
-    pub(crate) wipes: u8,
+    pub(crate) disk_losses: u8,
     /// A host passes in its state machine's snapshot.
     pub(crate) compactions: u8,
     /// A leader is asked to hand leadership over.
@@ -62,11 +62,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Appends {
     /// None.
-    Lost,
+    None,
     /// Those with entries.
-    Entries,
+    WithEntries,
     /// All, heartbeats included.
-    Heartbeats,
+    All,
 }
 
 /// What a search explores, and within which limits.
@@ -77,16 +77,16 @@
     pub(crate) protections: Protections,
     pub(crate) bounds: Bounds,
     /// The lists of voters that leaders are asked to change to, the last one first.
-    pub(crate) lists: Vec<Vec<NodeId>>,
+    pub(crate) voter_lists: Vec<Vec<NodeId>>,
     /// Hosts whose own clocks may advance beyond their election deadlines.
     pub(crate) timers: Vec<NodeId>,
     /// Hosts that may crash, lose their disks and sync late.
     pub(crate) faulty: Vec<NodeId>,
     pub(crate) appends: Appends,
     /// Whether it is a violation if host 1 stops leading.
-    pub(crate) steady: bool,
+    pub(crate) keeps_leader: bool,
     /// The greatest number of steps from the start.
-    pub(crate) limit: u32,
+    pub(crate) max_depth: u32,
     /// What hosts say of themselves, by which they admit each other. With none given, all admit
     /// each other.
     pub(crate) claims: Vec<Claim>,
@@ -187,20 +187,20 @@
     hosts: Vec<Shared<Host>>,
     network: Vec<Shared<Packet>>,
     history: Shared<History>,
-    left: Bounds,
+    remaining: Bounds,
     /// Whether all clocks advance together, so that leases can be compared.
     synchronous: bool,
     /// Whether each host may sync late.
     faulty: Vec<bool>,
     appends: Appends,
     /// The term that host 1 must go on leading, if losing it is a violation.
-    steady: Option<Term>,
+    kept_term: Option<Term>,
     depth: u32,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.left == other.left
+        self.remaining == other.remaining
             && self.hosts == other.hosts
             && self.network == other.network
             && self.history == other.history
@@ -211,7 +211,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.left.hash(state);
+        self.remaining.hash(state);
         self.hosts.hash(state);
         self.network.hash(state);
         self.history.hash(state);
@@ -225,18 +225,18 @@
             joiners: Vec::new(),
             protections: Protections::default(),
             bounds,
-            lists: Vec::new(),
+            voter_lists: Vec::new(),
             timers: vec![1, 2, 3],
             faulty: vec![1, 2, 3],
-            appends: Appends::Entries,
-            steady: false,
-            limit: u32::MAX,
+            appends: Appends::WithEntries,
+            keeps_leader: false,
+            max_depth: u32::MAX,
             claims: Vec::new(),
         }
     }
 
     /// Limits the hosts whose clocks may advance alone, and those that may fail.
-    pub(crate) fn only(mut self, timers: &[NodeId], faulty: &[NodeId]) -> Self {
+    pub(crate) fn restrict(mut self, timers: &[NodeId], faulty: &[NodeId]) -> Self {
         self.timers = timers.to_vec();
         self.faulty = faulty.to_vec();
         self
@@ -244,7 +244,7 @@
 
     /// Turns pre-votes and leases off. Safety doesn't depend on them, and without them more can
     /// happen in as many steps.
-    pub(crate) fn bare(mut self) -> Self {
+    pub(crate) fn safety_only(mut self) -> Self {
         self.protections.pre_vote = false;
         self.protections.lease = false;
         self
@@ -279,11 +279,11 @@
             hosts: hosts.chain(joiners).map(Shared::new).collect(),
             network: Vec::new(),
             history: Shared::new(History::default()),
-            left: self.bounds,
-            synchronous: self.bounds.passes > 0,
+            remaining: self.bounds,
+            synchronous: self.bounds.clock_steps > 0,
             faulty: ids.map(|id| self.faulty.contains(id)).collect(),
             appends: self.appends,
-            steady: None,
+            kept_term: None,
             depth: 0,
         };
         for at in 0..state.hosts.len() {
@@ -296,7 +296,7 @@
     /// Host 1 leads and no message is in flight.
     pub(crate) fn elected(&self) -> State {
         let mut state = self.start();
-        state.appends = Appends::Heartbeats;
+        state.appends = Appends::All;
         for host in &mut state.hosts {
             host.edit().clock += UNIT * 3;
         }
@@ -304,12 +304,12 @@
         state.settle(true);
         assert!(state.hosts[0].node.is_leader());
         state.appends = self.appends;
-        state.steady = self.steady.then(|| state.hosts[0].node.term());
+        state.kept_term = self.keeps_leader.then(|| state.hosts[0].node.term());
         state
     }
 
     /// Host 1 led and host 3 leads, and each has an entry that no other host has.
-    pub(crate) fn divided(&self) -> State {
+    pub(crate) fn split(&self) -> State {
         let mut state = self.elected();
         let payload = Payload::from(vec![9]);
         state.step(
@@ -328,7 +328,7 @@
     }
 
     /// Host 1 leads, and host 3 has been replaced by one with the disk of another cluster.
-    pub(crate) fn strayed(&self) -> State {
+    pub(crate) fn with_foreign_voter(&self) -> State {
         let mut state = self.elected();
         let contents = [
             Content::Voters(self.voters.clone()),
@@ -337,13 +337,13 @@
         ];
         let entries = contents.into_iter().zip(1..);
         let entries = entries.map(|(content, index)| Entry {
-            term: if index == 1 { 0 } else { STRAY },
+            term: if index == 1 { 0 } else { FOREIGN_TERM },
             index,
             content,
         });
         let disk = Restored {
             voting: Some(true),
-            term: STRAY,
+            term: FOREIGN_TERM,
             entries: entries.collect(),
             ..Restored::default()
         };
@@ -384,7 +384,7 @@
 
     fn successors(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
-        if state.depth >= self.limit {
+        if state.depth >= self.max_depth {
             return next;
         }
         self.deliveries(state, &mut next);
@@ -392,9 +392,9 @@
             self.faults(state, at, &mut next);
             self.inputs(state, at, &mut next);
         }
-        if state.left.passes > 0 {
+        if state.remaining.clock_steps > 0 {
             let mut state = state.clone();
-            state.left.passes -= 1;
+            state.remaining.clock_steps -= 1;
             for host in &mut state.hosts {
                 host.edit().clock += UNIT;
             }
@@ -402,14 +402,14 @@
         }
         for state in &mut next {
             state.depth += 1;
-            state.tidy();
+            state.normalize();
         }
         next
     }
 
     fn deliveries(&self, state: &State, next: &mut Vec<State>) {
         for (i, packet) in state.network.iter().enumerate() {
-            let Some(at) = state.find(packet.to) else {
+            let Some(at) = state.host_index(packet.to) else {
                 continue;
             };
             if !self.admits(packet.to, packet.from) {
@@ -420,9 +420,9 @@
             let mut once = state.clone();
             once.network.remove(i);
             once.step_both(at, &input, state, next);
-            if state.left.twice > 0 {
+            if state.remaining.redeliveries > 0 {
                 let mut twice = state.clone();
-                twice.left.twice -= 1;
+                twice.remaining.redeliveries -= 1;
                 twice.step_both(at, &input, state, next);
             }
         }
@@ -438,16 +438,16 @@
         if !self.faulty.contains(&host.node.id()) {
             return;
         }
-        if state.left.restarts > 0 {
+        if state.remaining.restarts > 0 {
             let mut state = state.clone();
-            state.left.restarts -= 1;
+            state.remaining.restarts -= 1;
             let disk = host.disk.clone();
             state.restart(at, self.config(host.node.id()), disk);
             next.push(state);
         }
-        if state.left.wipes > 0 {
+        if state.remaining.disk_losses > 0 {
             let mut state = state.clone();
-            state.left.wipes -= 1;
+            state.remaining.disk_losses -= 1;
             state.restart(at, self.config(host.node.id()), Restored::default());
             next.push(state);
         }
@@ -455,18 +455,18 @@
 
     fn inputs(&self, state: &State, at: usize, next: &mut Vec<State>) {
         let host = &state.hosts[at];
-        if state.left.timeouts > 0 && self.timers.contains(&host.node.id()) {
+        if state.remaining.timeouts > 0 && self.timers.contains(&host.node.id()) {
             let mut later = state.clone();
-            later.left.timeouts -= 1;
+            later.remaining.timeouts -= 1;
             later.hosts[at].edit().clock += UNIT * 3;
             later.step_both(at, &Input::Tick, state, next);
         }
-        if self.bounds.passes > 0 && self.timers.contains(&host.node.id()) {
+        if self.bounds.clock_steps > 0 && self.timers.contains(&host.node.id()) {
             state.clone().step_both(at, &Input::Tick, state, next);
         }
-        if state.left.compactions > 0 && host.node.committed() > 1 {
+        if state.remaining.compactions > 0 && host.node.committed() > 1 {
             let mut later = state.clone();
-            later.left.compactions -= 1;
+            later.remaining.compactions -= 1;
             let index = host.node.committed();
             let image = image(&state.history.applied, index);
             later.step_both(at, &Input::Compact { index, image }, state, next);
@@ -474,22 +474,22 @@
         if !host.node.is_leader() {
             return;
         }
-        if state.left.proposals > 0 {
+        if state.remaining.proposals > 0 {
             let mut later = state.clone();
-            later.left.proposals -= 1;
-            let proposal = u64::from(state.left.proposals);
-            let payload = Payload::from(vec![state.left.proposals]);
+            later.remaining.proposals -= 1;
+            let proposal = u64::from(state.remaining.proposals);
+            let payload = Payload::from(vec![state.remaining.proposals]);
             later.step_both(at, &Input::Propose { proposal, payload }, state, next);
         }
-        if state.left.handovers > 0 {
+        if state.remaining.handovers > 0 {
             let mut later = state.clone();
-            later.left.handovers -= 1;
+            later.remaining.handovers -= 1;
             later.step_both(at, &Input::HandOver { to: None }, state, next);
         }
-        if state.left.changes > 0 {
+        if state.remaining.changes > 0 {
             let mut later = state.clone();
-            later.left.changes -= 1;
-            let voters = self.lists[usize::from(later.left.changes)].clone();
+            later.remaining.changes -= 1;
+            let voters = self.voter_lists[usize::from(later.remaining.changes)].clone();
             later.step_both(
                 at,
                 &Input::Reconfigure {
@@ -516,7 +516,7 @@
 }
 
 impl State {
-    fn find(&self, id: NodeId) -> Option<usize> {
+    fn host_index(&self, id: NodeId) -> Option<usize> {
         self.hosts.iter().position(|h| h.node.id() == id)
     }
 
@@ -527,13 +527,13 @@
         prompt.step(at, input.clone(), false);
         let same = prompt.hosts[at].value == before.hosts[at].value;
         let quiet = same && prompt.network.len() == self.network.len();
-        if quiet && prompt.left == before.left {
+        if quiet && prompt.remaining == before.remaining {
             return;
         }
         next.push(prompt);
-        if self.left.lazy > 0 && self.faulty[at] {
+        if self.remaining.late_syncs > 0 && self.faulty[at] {
             let mut lazy = self;
-            lazy.left.lazy -= 1;
+            lazy.remaining.late_syncs -= 1;
             lazy.step(at, input.clone(), true);
             if !lazy.hosts[at].unsynced.is_empty() {
                 next.push(lazy);
@@ -546,12 +546,12 @@
         let (id, was) = (host.node.id(), host.node.committed());
         let outputs = host.node.step(host.clock, input);
         if host.node.committed() < was {
-            self.violate("a committed index went back");
+            self.record_violation("a committed index went back");
         }
         for output in outputs {
             self.output(id, at, output);
         }
-        self.watch(at);
+        self.check_host(at);
         if !lazy {
             self.sync(at);
         }
@@ -561,9 +561,9 @@
         match output {
             Output::Send { to, message } => {
                 let needs = match &message {
-                    Message::Append { entries, .. } if entries.is_empty() => Appends::Heartbeats,
-                    Message::Append { .. } => Appends::Entries,
-                    _ => Appends::Lost,
+                    Message::Append { entries, .. } if entries.is_empty() => Appends::All,
+                    Message::Append { .. } => Appends::WithEntries,
+                    _ => Appends::None,
                 };
                 if needs > self.appends {
                     return;
@@ -583,7 +583,7 @@
             Output::Apply(entry) => self.apply(&entry),
             Output::Restore { index, image: held } => {
                 if held != image(&self.history.applied, index) {
-                    self.violate("a snapshot differs from what was applied");
+                    self.record_violation("a snapshot differs from what was applied");
                 }
             }
             Output::Placed { .. } | Output::Rejected { .. } | Output::Resigned { .. } => {}
@@ -594,11 +594,11 @@
         let at = entry.index as usize - 1;
         match self.history.applied.get(at) {
             Some(known) if known == entry => {}
-            Some(_) => self.violate("two entries were applied at one index"),
+            Some(_) => self.record_violation("two entries were applied at one index"),
             None if at == self.history.applied.len() => {
                 self.history.edit().applied.push(entry.clone());
             }
-            None => self.violate("an index was skipped"),
+            None => self.record_violation("an index was skipped"),
         }
     }
 
@@ -632,7 +632,7 @@
         while !self.network.is_empty() {
             let packet = Packet::clone(&self.network.remove(0));
             let lost = matches!(packet.message, Message::Append { .. }) && !entries;
-            let Some(at) = self.find(packet.to).filter(|_| !lost) else {
+            let Some(at) = self.host_index(packet.to).filter(|_| !lost) else {
                 continue;
             };
             let Packet { from, message, .. } = packet;
@@ -642,13 +642,13 @@
 
     /// Sorts the messages, since their order doesn't matter, and drops those that can't have any
     /// effect any more beyond announcing a term.
-    fn tidy(&mut self) {
+    fn normalize(&mut self) {
         // A host that may still lose its disk may then accept messages of terms that it has left.
-        let wipes = self.left.wipes > 0;
+        let disk_losses = self.remaining.disk_losses > 0;
         let hosts = std::mem::take(&mut self.hosts);
         let host = |id| hosts.iter().find(|h| h.node.id() == id);
         self.network.retain(|p| match (host(p.from), host(p.to)) {
-            (Some(from), Some(to)) => wipes || is_alive(&p.message, from, to),
+            (Some(from), Some(to)) => disk_losses || may_have_effect(&p.message, from, to),
             _ => false,
         });
         self.hosts = hosts;
@@ -658,19 +658,19 @@
     }
 
     /// Checks the invariants for a host that has just stepped.
-    fn watch(&mut self, at: usize) {
+    fn check_host(&mut self, at: usize) {
         let host = self.hosts[at].clone();
         if host.node.is_leader() {
-            self.watch_leader(&host.node);
+            self.check_leader(&host.node);
         }
         for other in self.hosts.clone() {
             if !logs_match(&host.node, &other.node) {
-                self.violate("two logs differ before an equal entry");
+                self.record_violation("two logs differ before an equal entry");
             }
         }
     }
 
-    fn watch_leader(&mut self, node: &Node) {
+    fn check_leader(&mut self, node: &Node) {
         let pair = (node.term(), node.id());
         let known = self
             .history
@@ -679,7 +679,7 @@
             .find(|(term, _)| *term == pair.0);
         match known {
             Some(known) if *known == pair => {}
-            Some(_) => self.violate("two leaders in a term"),
+            Some(_) => self.record_violation("two leaders in a term"),
             None => self.history.edit().leaders.push(pair),
         }
         let last = node.last().index;
@@ -689,11 +689,11 @@
         };
         let newest = self.history.leaders.iter().all(|(term, _)| *term <= pair.0);
         if newest && !self.history.applied.iter().all(holds) {
-            self.violate("a leader lacks a committed entry");
+            self.record_violation("a leader lacks a committed entry");
         }
     }
 
-    fn violate(&mut self, what: &'static str) {
+    fn record_violation(&mut self, what: &'static str) {
         self.history.edit().violation.get_or_insert(what);
     }
 
@@ -703,7 +703,7 @@
             return Some("two leases at once");
         }
         let leads = |term| self.hosts[0].node.is_leader() && self.hosts[0].node.term() == term;
-        if self.steady.is_some_and(|term| !leads(term)) {
+        if self.kept_term.is_some_and(|term| !leads(term)) {
             return Some("a leader with a quorum was deposed");
         }
         self.history.violation
@@ -712,7 +712,7 @@
 
 /// Whether a message can still have an effect. An answer can't once its receiver has left the term
 /// on disk, or no longer leads or campaigns; a request can't once both ends have left the term.
-fn is_alive(message: &Message, from: &Host, to: &Host) -> bool {
+fn may_have_effect(message: &Message, from: &Host, to: &Host) -> bool {
     match *message {
         Message::VoteReply { term, granted } => {
             term > to.node.term() || (granted && term >= to.disk.term && !to.node.is_leader())
@@ -721,7 +721,7 @@
         Message::AppendReply { term, verdict, .. } => {
             let leads = term == to.node.term() && to.node.is_leader();
             let matched = matches!(verdict, Verdict::Matched(_));
-            term > to.node.term() || (leads && !(matched && is_known(message, from, to)))
+            term > to.node.term() || (leads && !(matched && has_no_effect(message, from, to)))
         }
         Message::PreVoteReply { term, granted, .. } => granted && term > to.disk.term,
         Message::Append { term, .. } | Message::Vote { term, .. } => {
@@ -732,7 +732,7 @@
 }
 
 /// Whether a message changes nothing at its receiver and makes it send nothing.
-fn is_known(message: &Message, from: &Host, to: &Host) -> bool {
+fn has_no_effect(message: &Message, from: &Host, to: &Host) -> bool {
     let mut node = to.node.clone();
     let (from, message) = (from.node.id(), message.clone());
     node.step(to.clock, Input::Receive { from, message })
--- a/tests/consensus/random.rs
+++ b/tests/consensus/random.rs
@@ -15,16 +15,16 @@
 const VOTERS: [NodeId; 3] = [1, 2, 3];
 const NODES: NodeId = 6;
 /// The directory's size: room for the nodes that replace voters.
-const PLACES: NodeId = 40;
+const DIRECTORY_SIZE: NodeId = 40;
 
 /// Three voters in three data centres, three learners in a fourth.
-fn place(id: NodeId, protections: &Protections) -> Config {
+fn node_config(id: NodeId, protections: &Protections) -> Config {
     let places = ["graz", "linz", "wels"];
     let config = config(id, &VOTERS)
         .disk(id <= 3 || id > NODES)
         .chunk(300)
         .protections(protections.clone());
-    (1..=PLACES).fold(config, |config, node| {
+    (1..=DIRECTORY_SIZE).fold(config, |config, node| {
         config.place(
             node,
             places.get(node as usize - 1).copied().unwrap_or("enns"),
@@ -51,12 +51,12 @@
 
 impl Run {
     fn new(seed: u64, protections: &Protections) -> Self {
-        let mut world = World::new((1..=NODES).map(|id| place(id, protections)).collect());
+        let mut world = World::new((1..=NODES).map(|id| node_config(id, protections)).collect());
         world.rng = Pcg64::seed_from_u64(seed);
         world.loss = 0.05;
-        world.twice = 0.05;
+        world.duplication = 0.05;
         world.jitter = Duration::from_millis(30);
-        world.sync = Duration::from_millis(40);
+        world.sync_delay = Duration::from_millis(40);
         let rng = Pcg64::seed_from_u64(seed + 1000);
         let (lost, protections) = (BTreeSet::new(), protections.clone());
         Self {
@@ -69,7 +69,7 @@
         }
     }
 
-    fn host(&mut self) -> NodeId {
+    fn random_host(&mut self) -> NodeId {
         let ids: Vec<_> = self.world.hosts.keys().collect();
         *ids[self.rng.random_range(0..ids.len())]
     }
@@ -80,7 +80,7 @@
     }
 
     /// A voter loses its disk for good, and a new host starts.
-    fn lose(&mut self) {
+    fn lose_voter_disk(&mut self) {
         let Some(voters) = self.voters().filter(|_| self.replacing.is_none()) else {
             return;
         };
@@ -88,12 +88,12 @@
         let new = *self.world.hosts.last_key_value().unwrap().0 + 1;
         self.world.crash(old);
         self.lost.insert(old);
-        self.world.add(place(new, &self.protections));
+        self.world.add(node_config(new, &self.protections));
         self.replacing = Some((old, new));
     }
 
     /// Replaces the lost voter as an operator would: removes the old voter, then adds the new one.
-    fn replace(&mut self) {
+    fn replace_lost_voter(&mut self) {
         let Some((old, new)) = self.replacing else {
             return;
         };
@@ -119,7 +119,7 @@
     }
 
     fn disturb(&mut self) {
-        let id = self.host();
+        let id = self.random_host();
         let running = self.world.hosts[&id].node.is_some();
         let lost = self.lost.contains(&id);
         match self.rng.random_range(0..400) {
@@ -127,24 +127,24 @@
             4..=30 if !running && !lost => self.world.start(id),
             31..=32 => self.world.isolate(id),
             33..=34 => {
-                let to = self.host();
+                let to = self.random_host();
                 self.world.cut(&[id], &[to]);
             }
             35..=39 => self.world.heal(),
             40 => self.world.input(id, Input::HandOver { to: None }),
             41..=43 if running => self.world.compact(id),
             44 => (1..=NODES + 5).for_each(|id| self.world.crash(id)),
-            45 if self.rng.random_bool(0.3) => self.lose(),
+            45 if self.rng.random_bool(0.3) => self.lose_voter_disk(),
             46..=150 => {
                 self.proposals += 1;
                 self.world.propose(id, self.proposals);
             }
-            151..=160 => self.replace(),
+            151..=160 => self.replace_lost_voter(),
             _ => {}
         }
     }
 
-    fn go(&mut self, time: Duration) {
+    fn play(&mut self, time: Duration) {
         let end = self.world.now + time;
         while self.world.now < end {
             self.disturb();
@@ -154,7 +154,7 @@
     }
 
     /// Repairs all faults and lets the cluster settle.
-    fn rest(&mut self) {
+    fn recover(&mut self) {
         self.world.heal();
         self.world.loss = 0.0;
         let ids: Vec<_> = self.world.hosts.keys().copied().collect();
@@ -165,7 +165,7 @@
         }
         for _ in 0..20 {
             self.world.run(SECOND);
-            self.replace();
+            self.replace_lost_voter();
         }
         assert_eq!(self.replacing, None);
         self.world.commit(u64::MAX);
@@ -181,8 +181,8 @@
     let (mut committed, mut restored, mut replaced) = (0, 0, 0);
     for seed in seeds() {
         let mut run = Run::new(seed, &Protections::default());
-        run.go(SECOND * 60);
-        run.rest();
+        run.play(SECOND * 60);
+        run.recover();
         let world = &run.world;
         let log: Vec<_> = world.history.values().cloned().collect();
         let kept = world.hosts.iter().filter(|(id, _)| !run.lost.contains(id));
@@ -219,8 +219,8 @@
     let noticed = seeds().any(|seed| {
         let run = || {
             let mut run = Run::new(seed, &weak);
-            run.go(SECOND * 60);
-            run.rest();
+            run.play(SECOND * 60);
+            run.recover();
         };
         let panic = std::panic::catch_unwind(run).err();
         let text = panic.and_then(|p| p.downcast::<String>().ok());
@@ -231,7 +231,7 @@
 
 /// Plays a run and counts how often a node that would answer callers lacked a change that was
 /// already confirmed.
-fn outdated(seed: u64, answers: impl Fn(&Node, Now) -> bool) -> usize {
+fn count_outdated_answers(seed: u64, answers: impl Fn(&Node, Now) -> bool) -> usize {
     let mut run = Run::new(seed, &Protections::default());
     let end = run.world.now + SECOND * 60;
     let mut count = 0;
@@ -262,12 +262,12 @@
 fn a_leader_with_a_lease_has_applied_every_confirmed_change() {
     let holds = |node: &Node, now| node.lease_until().is_some_and(|until| now < until);
     for seed in seeds() {
-        assert_eq!(outdated(seed, holds), 0, "seed {seed}");
+        assert_eq!(count_outdated_answers(seed, holds), 0, "seed {seed}");
     }
 }
 
 /// The check above detects leaders that answer without a lease.
 #[test]
 fn without_a_lease_a_former_leader_answers_from_old_state() {
-    assert!(seeds().any(|seed| outdated(seed, |node, _| node.is_leader()) > 0));
+    assert!(seeds().any(|seed| count_outdated_answers(seed, |node, _| node.is_leader()) > 0));
 }
--- a/tests/consensus/replication.rs
+++ b/tests/consensus/replication.rs
@@ -44,7 +44,7 @@
 fn nothing_commits_before_it_is_synced_at_a_quorum() {
     let mut world = World::voters(3);
     let leader = world.elect();
-    world.sync = SECOND;
+    world.sync_delay = SECOND;
     world.propose(leader, 7);
     world.run(SECOND / 2);
     assert!(world.commands(leader).is_empty());
--- a/tests/consensus/snapshots.rs
+++ b/tests/consensus/snapshots.rs
@@ -8,7 +8,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn parts(world: &World) -> usize {
+fn chunks(world: &World) -> usize {
     world
         .sent
         .iter()
@@ -33,9 +33,9 @@
     world.loss = 0.2;
     world.until(SECOND * 20, |w| w.commands(lagging).len() == 201);
     assert_eq!(world.hosts[&lagging].restored.len(), 1);
-    assert!(parts(&world) > 10);
-    let part = |m: &Message| matches!(m, Message::Chunk { part, .. } if part.len() > 500);
-    assert!(!world.sent.iter().any(|(_, _, m)| part(m)));
+    assert!(chunks(&world) > 10);
+    let oversized = |m: &Message| matches!(m, Message::Chunk { part, .. } if part.len() > 500);
+    assert!(!world.sent.iter().any(|(_, _, m)| oversized(m)));
 }
 
 #[test]
@@ -57,7 +57,7 @@
             (0..12).collect::<Vec<_>>(),
             "leader was {leader}"
         );
-        assert_eq!(parts(&world), 0);
+        assert_eq!(chunks(&world), 0);
         let restored = Restored::replay(world.hosts[&id].disk.clone());
         assert_eq!(Restored::replay(restored.records()), restored);
     }
--- a/tests/consensus/world.rs
+++ b/tests/consensus/world.rs
@@ -27,7 +27,7 @@
     },
     Synced {
         node: NodeId,
-        life: u32,
+        incarnation: u32,
         write: u64,
     },
 }
@@ -43,24 +43,24 @@
     /// What the state machine holds: all entries since the first.
     pub(crate) applied: BTreeMap<Index, Entry>,
     pub(crate) restored: Vec<Index>,
-    life: u32,
+    incarnation: u32,
 }
 
 /// The simulated cluster, with its faults and what it did.
 pub(crate) struct World {
     pub(crate) now: Now,
     pub(crate) hosts: BTreeMap<NodeId, Host>,
-    pub(crate) cut: BTreeSet<(NodeId, NodeId)>,
+    pub(crate) cut_links: BTreeSet<(NodeId, NodeId)>,
     pub(crate) rng: Pcg64,
     /// The probability that a message is lost.
     pub(crate) loss: f64,
     /// The probability that a message is duplicated.
-    pub(crate) twice: f64,
+    pub(crate) duplication: f64,
     pub(crate) delay: Duration,
     pub(crate) jitter: Duration,
-    pub(crate) sync: Duration,
+    pub(crate) sync_delay: Duration,
     /// Hosts whose disk no longer completes a write.
-    pub(crate) stuck: BTreeSet<NodeId>,
+    pub(crate) stalled_disks: BTreeSet<NodeId>,
     /// The reference log: one copy, filled by whichever node applies an index first.
     pub(crate) history: BTreeMap<Index, Entry>,
     /// Answers to proposals: placed or rejected.
@@ -70,7 +70,7 @@
     /// Delivered messages, in order.
     pub(crate) sent: Vec<(NodeId, NodeId, Message)>,
     events: BTreeMap<(Now, u64), Event>,
-    count: u64,
+    event_count: u64,
 }
 
 pub(crate) fn config(id: NodeId, voters: &[NodeId]) -> Config {
@@ -87,20 +87,20 @@
         let mut world = Self {
             now: Duration::from_secs(1),
             hosts: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             rng: Pcg64::seed_from_u64(1),
             loss: 0.0,
-            twice: 0.0,
+            duplication: 0.0,
             delay: Duration::from_millis(1),
             jitter: Duration::ZERO,
-            sync: Duration::from_millis(1),
-            stuck: BTreeSet::new(),
+            sync_delay: Duration::from_millis(1),
+            stalled_disks: BTreeSet::new(),
             history: BTreeMap::new(),
             answers: Vec::new(),
             resigned: Vec::new(),
             sent: Vec::new(),
             events: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
         };
         for config in configs {
             world.add(config);
@@ -124,7 +124,7 @@
             unsynced,
             applied,
             restored,
-            life: 0,
+            incarnation: 0,
         };
         self.hosts.insert(id, host);
         self.start(id);
@@ -133,7 +133,7 @@
     pub(crate) fn start(&mut self, id: NodeId) {
         let now = self.now;
         let host = self.hosts.get_mut(&id).unwrap();
-        host.life += 1;
+        host.incarnation += 1;
         host.applied.clear();
         let restored = Restored::replay(host.disk.clone());
         host.node = Some(Node::new(now, host.config.clone(), restored));
@@ -150,7 +150,7 @@
     /// Cuts the links from some nodes to others, in this direction only.
     pub(crate) fn cut(&mut self, from: &[NodeId], to: &[NodeId]) {
         for &a in from {
-            self.cut
+            self.cut_links
                 .extend(to.iter().filter(|&&b| a != b).map(|&b| (a, b)));
         }
     }
@@ -163,7 +163,7 @@
     }
 
     pub(crate) fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 
     pub(crate) fn node(&self, id: NodeId) -> &Node {
@@ -189,10 +189,10 @@
                 host.unsynced.push((write, record));
                 let event = Event::Synced {
                     node: id,
-                    life: host.life,
+                    incarnation: host.incarnation,
                     write,
                 };
-                self.at(self.now + self.sync, event);
+                self.schedule(self.now + self.sync_delay, event);
             }
             Output::Apply(entry) => {
                 let next = host.applied.last_key_value().map_or(1, |(i, _)| i + 1);
@@ -221,10 +221,10 @@
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, message: &Message) {
-        if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+        if self.cut_links.contains(&(from, to)) || self.rng.random_bool(self.loss) {
             return;
         }
-        let copies = if self.rng.random_bool(self.twice) {
+        let copies = if self.rng.random_bool(self.duplication) {
             2
         } else {
             1
@@ -232,30 +232,37 @@
         for _ in 0..copies {
             let jitter = self.jitter.mul_f64(self.rng.random());
             let message = message.clone();
-            self.at(
+            self.schedule(
                 self.now + self.delay + jitter,
                 Event::Deliver { from, to, message },
             );
         }
     }
 
-    fn at(&mut self, time: Now, event: Event) {
-        self.count += 1;
-        self.events.insert((time, self.count), event);
+    fn schedule(&mut self, time: Now, event: Event) {
+        self.event_count += 1;
+        self.events.insert((time, self.event_count), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Deliver { from, to, message } => {
-                if self.cut.contains(&(from, to)) {
+                if self.cut_links.contains(&(from, to)) {
                     return;
                 }
                 self.sent.push((from, to, message.clone()));
                 self.input(to, Input::Receive { from, message });
             }
-            Event::Synced { node, life, write } => {
+            Event::Synced {
+                node,
+                incarnation,
+                write,
+            } => {
                 let host = self.hosts.get_mut(&node).unwrap();
-                if host.life != life || host.node.is_none() || self.stuck.contains(&node) {
+                if host.incarnation != incarnation
+                    || host.node.is_none()
+                    || self.stalled_disks.contains(&node)
+                {
                     return;
                 }
                 while host.unsynced.first().is_some_and(|(w, _)| *w <= write) {
@@ -275,7 +282,7 @@
             }
             let ((time, _), event) = entry.remove_entry();
             self.now = time;
-            self.happen(event);
+            self.handle(event);
         }
         self.now = end;
         let ids: Vec<_> = self.hosts.keys().copied().collect();
@@ -307,7 +314,11 @@
         let holds = |n: &&Node| n.lease_until().is_some_and(|until| self.now < until);
         let mut leaders = nodes.filter(holds).map(Node::id);
         let leader = leaders.next();
-        assert_eq!(leaders.next(), None, "a second lease beside that of {leader:?}");
+        assert_eq!(
+            leaders.next(),
+            None,
+            "a second lease beside that of {leader:?}"
+        );
         leader
     }
 
