--- a/src/adapters/disk/mirror.rs
+++ b/src/adapters/disk/mirror.rs
@@ -75,7 +75,7 @@
         let mut last = self.last();
         for record in records {
             match record {
-                Record::Standing { .. } | Record::Ballot { .. } => {}
+                Record::Eligibility { .. } | Record::Ballot { .. } => {}
                 Record::Append(entries) => last = follow(base, last, entries)?,
                 Record::Snapshot { index, .. } if *index < base => {
                     return Err(gap(base, *index));
@@ -93,7 +93,7 @@
     pub(super) fn apply(&mut self, records: &[Record]) {
         for record in records {
             match record {
-                Record::Standing { voting } => self.standing = Some(*voting),
+                Record::Eligibility { voting } => self.standing = Some(*voting),
                 Record::Ballot { term, vote } => {
                     self.ballot = Ballot {
                         term: *term,
@@ -108,7 +108,7 @@
 
     /// The whole state as a checkpoint, with `snapshot` as its snapshot.
     pub(super) fn checkpoint(&self, snapshot: &Record) -> Checkpoint {
-        let standing = self.standing.map(|voting| Record::Standing { voting });
+        let standing = self.standing.map(|voting| Record::Eligibility { voting });
         let ballot = Record::Ballot {
             term: self.ballot.term,
             vote: self.ballot.vote,
--- a/src/adapters/disk/mod.rs
+++ b/src/adapters/disk/mod.rs
@@ -43,7 +43,7 @@
 //!
 //! A voter whose folder was emptied has forgotten its votes and must not vote under its old node
 //! id again. Consensus sees to that: it finds no standing in an empty folder, asks the cluster
-//! whether the id is a voter's already, and writes the answer as [`Record::Standing`] before
+//! whether the id is a voter's already, and writes the answer as [`Record::Eligibility`] before
 //! anything else. A lost disk is barred by it for good, and the voter is replaced by a membership
 //! change under a new node id. The folder's part is to keep the standing through every checkpoint,
 //! to say in [`Restored::fresh`] that it was just made, and to refuse a node id that isn't the one
--- a/src/bench/capacity/log.rs
+++ b/src/bench/capacity/log.rs
@@ -86,8 +86,8 @@
         let voters: Vec<NodeId> = (1..=NodeId::from(plan.voters)).collect();
         let member = |id: NodeId| {
             let base = Config::new(id, Pcg64::seed_from_u64(id));
-            let base =
-                (1..=NodeId::from(plan.nodes)).fold(base, |config, n| config.place(n, centre(n)));
+            let base = (1..=NodeId::from(plan.nodes))
+                .fold(base, |config, n| config.location(n, centre(n)));
             let base = slower(base, plan.pace);
             let config = if id <= NodeId::from(plan.voters) {
                 base.bootstrap(voters.clone())
--- a/src/bench/control/voters.rs
+++ b/src/bench/control/voters.rs
@@ -141,7 +141,7 @@
         let (disk, restored) = Disk::open(&folder, id).expect("a folder for a voter");
         let mut config = Config::new(id, Pcg64::seed_from_u64(id)).bootstrap(VOTERS.into());
         for voter in VOTERS {
-            config = config.place(voter, "dc");
+            config = config.location(voter, "dc");
         }
         let own = inboxes[&id].clone();
         let event = move |event| {
@@ -222,7 +222,7 @@
                 }
             }
             Output::Rejected { proposal, .. } => self.tell(Told::Rejected(proposal)),
-            Output::Restore { .. } | Output::Placed { .. } | Output::Resigned { .. } => {}
+            Output::Restore { .. } | Output::Appended { .. } | Output::Resigned { .. } => {}
         }
     }
 
--- a/src/core/consensus/config.rs
+++ b/src/core/consensus/config.rs
@@ -7,7 +7,7 @@
 
 use rand_pcg::Pcg64;
 
-use super::interface::{Index, Place};
+use super::interface::{Index, Location};
 use crate::core::types::{DataCentreId, NodeId};
 
 /// Test-only switches, each of which turns one protection off, so that a test can show that the
@@ -26,12 +26,12 @@
     /// Only entries of the leader's own term are committed by counting replicas.
     pub own_term: bool,
     /// A node that starts with an empty disk under the id of an existing voter never votes.
-    pub standing: bool,
+    pub eligibility: bool,
     /// Only one voter is added or removed at a time, and only after the previous change is
     /// committed.
-    pub single_step: bool,
+    pub single_server: bool,
     /// A leader that hands over gives up its lease first.
-    pub recall: bool,
+    pub release_lease: bool,
 }
 
 impl Default for Protections {
@@ -42,9 +42,9 @@
             pre_vote: true,
             lease: true,
             own_term: true,
-            standing: true,
-            single_step: true,
-            recall: true,
+            eligibility: true,
+            single_server: true,
+            release_lease: true,
         }
     }
 }
@@ -60,9 +60,9 @@
 ///
 /// let config = Config::new(1, Pcg64::seed_from_u64(7))
 ///     .bootstrap(vec![1, 2, 3])
-///     .place(1, "north")
-///     .place(2, "north")
-///     .place(3, "south")
+///     .location(1, "north")
+///     .location(2, "north")
+///     .location(3, "south")
 ///     .election(Duration::from_millis(300), Duration::from_millis(600));
 /// assert_eq!(config.id(), 1);
 /// ```
@@ -72,7 +72,7 @@
     pub(super) rng: Pcg64,
     pub(super) disk: bool,
     pub(super) bootstrap: Option<Vec<NodeId>>,
-    pub(super) places: Vec<Place>,
+    pub(super) locations: Vec<Location>,
     pub(super) election_min: Duration,
     pub(super) election_max: Duration,
     pub(super) heartbeat: Duration,
@@ -94,7 +94,7 @@
             rng,
             disk: true,
             bootstrap: None,
-            places: Vec::new(),
+            locations: Vec::new(),
             election_min: Duration::from_millis(500),
             election_max: Duration::from_millis(1000),
             heartbeat: Duration::from_millis(100),
@@ -133,9 +133,9 @@
 
     /// Adds a node to the directory from which learners choose their relay.
     #[must_use]
-    pub fn place(mut self, node: NodeId, data_centre: impl Into<DataCentreId>) -> Self {
+    pub fn location(mut self, node: NodeId, data_centre: impl Into<DataCentreId>) -> Self {
         let data_centre = data_centre.into();
-        self.places.push(Place { node, data_centre });
+        self.locations.push(Location { node, data_centre });
         self
     }
 
@@ -218,7 +218,7 @@
 /// from how often it was drawn from.
 impl PartialEq for Config {
     fn eq(&self, other: &Self) -> bool {
-        self.id == other.id && self.rng == other.rng && self.places == other.places
+        self.id == other.id && self.rng == other.rng && self.locations == other.locations
     }
 }
 
--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -12,7 +12,7 @@
     interface::{Content, Term},
     leader::{Leader, Progress},
     message::{Message, Position},
-    node::{Node, Role, Standing},
+    node::{Eligibility, Node, Role},
 };
 use crate::core::types::NodeId;
 
@@ -183,7 +183,7 @@
     /// may have been added by an entry that it doesn't have yet, and its vote may be needed for the
     /// majority.
     fn may_vote(&self) -> bool {
-        self.standing == Standing::Member
+        self.eligibility == Eligibility::Eligible
     }
 
     /// Whether a leader may rely on this node not to vote for another candidate.
--- a/src/core/consensus/feed.rs
+++ b/src/core/consensus/feed.rs
@@ -11,7 +11,7 @@
 use super::{
     interface::{Entry, Index},
     message::Message,
-    node::{Node, Standing},
+    node::{Eligibility, Node},
     snapshot::{ChunkOutcome, Transfer},
     source::Skip,
 };
@@ -48,7 +48,7 @@
     /// When the source last showed that it is in touch with a leader.
     pub(super) source_seen: Now,
     /// The latest time, by this node's clock, at which the source was in touch with a leader.
-    pub(super) contact: Option<Now>,
+    pub(super) last_contact: Option<Now>,
     /// When this node last asked to be fed.
     pub(super) subscribed_at: Option<Now>,
     /// The silent sources, and until when each is skipped.
@@ -65,7 +65,7 @@
             source: None,
             trials: BTreeMap::new(),
             source_seen: now,
-            contact: None,
+            last_contact: None,
             subscribed_at: None,
             skipped: BTreeMap::new(),
             voters: Vec::new(),
@@ -73,8 +73,8 @@
         }
     }
 
-    pub(super) fn contact(&self) -> Option<Now> {
-        self.contact
+    pub(super) fn last_contact(&self) -> Option<Now> {
+        self.last_contact
     }
 }
 
@@ -231,7 +231,7 @@
 
     /// How long ago this node was last in touch with a leader; the maximum if it never was.
     fn lag(&self) -> Now {
-        self.contact()
+        self.last_contact()
             .map_or(Now::MAX, |contact| self.now.saturating_sub(contact))
     }
 
@@ -254,9 +254,9 @@
             return;
         }
         if lag < self.config.feed_timeout {
-            self.settle_standing(&voters);
+            self.decide_eligibility(&voters);
         }
-        if self.standing == Standing::Unknown {
+        if self.eligibility == Eligibility::Unknown {
             return;
         }
         self.adopt_source(from, sent, lag);
@@ -288,15 +288,15 @@
 
     /// Decides whether a node with an empty disk may vote: not if its id already is a voter's, by
     /// what a node in touch with a leader says.
-    fn settle_standing(&mut self, voters: &[NodeId]) {
-        if self.standing != Standing::Unknown || voters.is_empty() {
+    fn decide_eligibility(&mut self, voters: &[NodeId]) {
+        if self.eligibility != Eligibility::Unknown || voters.is_empty() {
             return;
         }
         let barred = voters.contains(&self.config.id);
-        self.set_standing(if barred {
-            Standing::Barred
+        self.set_eligibility(if barred {
+            Eligibility::Ineligible
         } else {
-            Standing::Member
+            Eligibility::Eligible
         });
     }
 }
--- a/src/core/consensus/interface.rs
+++ b/src/core/consensus/interface.rs
@@ -41,7 +41,7 @@
 /// A node and its data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
-pub struct Place {
+pub struct Location {
     /// The node.
     pub node: NodeId,
     /// Its data centre.
@@ -89,7 +89,7 @@
     /// This node is about to stop: from now on it never becomes leader.
     Retire,
     /// All nodes that are known now, including this one, and their data centres.
-    Nodes(Vec<Place>),
+    Nodes(Vec<Location>),
     /// The state machine's snapshot as of an index; the log up to there may be dropped.
     Compact {
         /// The last index that the snapshot includes.
@@ -127,7 +127,7 @@
     },
     /// The proposal was appended to the log. It is committed only when an entry with this index and
     /// term is applied.
-    Placed {
+    Appended {
         /// The caller's number for the proposal.
         proposal: u64,
         /// The term of its entry.
@@ -156,7 +156,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Resignation {
     /// No quorum answered for as long as a lease lasts.
-    Unheard,
+    NoQuorum,
     /// Its disk has left a write unsynced for the longest election timeout.
     Stalled,
     /// Another node is in a later term.
@@ -169,7 +169,7 @@
     /// A fixed label, for logs.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Unheard => "no quorum answered",
+            Self::NoQuorum => "no quorum answered",
             Self::Stalled => "the disk stalled",
             Self::Superseded => "a later term",
             Self::HandedOver => "handed over",
@@ -183,7 +183,7 @@
 pub enum Record {
     /// Whether this disk may ever vote under its id; written once, before any other record.
     #[serde(rename = "Standing")]
-    Standing {
+    Eligibility {
         /// False on a disk that was empty although its id was a voter already.
         voting: bool,
     },
--- a/src/core/consensus/membership.rs
+++ b/src/core/consensus/membership.rs
@@ -73,7 +73,7 @@
         let busy = leader.joining.is_some() || leader.handover.is_some();
         let settled = self.log.last_voter_change() <= self.committed && self.has_committed();
         let single = added.len() + removed == 1 && settled && !busy;
-        let allowed = single || !self.config.protections.single_step;
+        let allowed = single || !self.config.protections.single_server;
         if voters.is_empty() || !allowed {
             return None;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Whether a change of voters is under way at this leader, so that no other can begin.
-    pub fn is_changing(&self) -> bool {
+    pub fn is_changing_voters(&self) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
@@ -210,7 +210,7 @@
         if matched == last {
             leader.handover = None;
             self.outbox.send(to, Message::HandOver { term });
-            if self.config.protections.recall {
+            if self.config.protections.release_lease {
                 self.resign(Resignation::HandedOver);
             }
         } else if now >= until {
@@ -219,12 +219,12 @@
     }
 
     pub(super) fn reject(&mut self, proposal: u64) {
-        let leader = self.leader.filter(|_| !self.is_handing());
+        let leader = self.leader.filter(|_| !self.is_handing_over());
         self.outbox.push(Output::Rejected { proposal, leader });
     }
 
     /// Whether this leader accepts no proposals because it is handing leadership over.
-    pub fn is_handing(&self) -> bool {
+    pub fn is_handing_over(&self) -> bool {
         matches!(&self.role, Role::Leader(leader) if leader.handover.is_some())
     }
 }
--- a/src/core/consensus/message.rs
+++ b/src/core/consensus/message.rs
@@ -20,7 +20,7 @@
 /// The outcome of a [`Message::Append`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
-pub enum Verdict {
+pub enum AppendOutcome {
     /// Everything up to this index equals the leader's log and is on disk.
     Matched(Index),
     /// The logs differ before the entries; the leader should try again from this index.
@@ -85,7 +85,7 @@
         sent: Now,
         /// The outcome.
         #[serde(rename = "verdict")]
-        verdict: Verdict,
+        outcome: AppendOutcome,
     },
     /// The leader asks the receiver to campaign at once.
     HandOver {
--- a/src/core/consensus/mod.rs
+++ b/src/core/consensus/mod.rs
@@ -16,7 +16,7 @@
 //!   that by [`Input::Synced`]; several writes may share one sync and one report. At the next start
 //!   [`Restored::replay`] rebuilds the state from the records.
 //! - [`Output::Apply`] and [`Output::Restore`] go to the state machine, in order.
-//! - [`Output::Placed`] and [`Output::Rejected`] answer proposals. A proposal that was placed is
+//! - [`Output::Appended`] and [`Output::Rejected`] answer proposals. An appended proposal is
 //!   committed once an entry with its index *and term* is applied. If the entry applied at its
 //!   index has another term, the proposal will never be committed.
 //! - [`Output::Resigned`] gives the reason why a leader stepped down, for a log line.
@@ -89,7 +89,7 @@
 pub use self::{
     config::{Config, Protections},
     interface::{Content, Entry, Index, Input, Output, Payload, Record, Resignation, Term},
-    message::{Message, Position, Verdict},
-    node::{Node, Standing},
+    message::{AppendOutcome, Message, Position},
+    node::{Eligibility, Node},
     restored::{Restored, Snapshot},
 };
--- a/src/core/consensus/node.rs
+++ b/src/core/consensus/node.rs
@@ -19,14 +19,14 @@
 
 /// Whether a node may vote under its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum Eligibility {
     /// The disk was empty, and no node has told this one yet whether its id already is a voter's.
     Unknown,
     /// It may vote while the list of voters contains its id.
-    Member,
+    Eligible,
     /// It has no disk, or lost the term and votes that it recorded under this id. It receives
     /// entries and never votes.
-    Barred,
+    Ineligible,
 }
 
 /// The role of a node in the current term.
@@ -59,7 +59,7 @@
 pub struct Node {
     pub(super) config: Config,
     pub(super) now: Now,
-    pub(super) standing: Standing,
+    pub(super) eligibility: Eligibility,
     pub(super) term: Term,
     pub(super) vote: Option<NodeId>,
     pub(super) role: Role,
@@ -96,7 +96,7 @@
         let base = snapshot.last.index;
         let mut node = Self {
             now,
-            standing: standing(&config, restored.voting),
+            eligibility: eligibility(&config, restored.voting),
             term: restored.term,
             vote: restored.vote,
             role: Role::Follower,
@@ -137,7 +137,7 @@
             Input::Reconfigure { proposal, voters } => self.reconfigure(proposal, voters),
             Input::HandOver { to } => self.hand_over(to),
             Input::Retire => self.retiring = true,
-            Input::Nodes(places) => self.config.places = places,
+            Input::Nodes(locations) => self.config.locations = locations,
             Input::Synced { write } => self.synced(write),
             Input::Compact { index, image } => self.compact(index, image),
         }
@@ -151,7 +151,7 @@
         if now < self.now + self.config.lease {
             return;
         }
-        let leader_seen = self.contact().filter(|_| !self.is_leader());
+        let leader_seen = self.last_contact().filter(|_| !self.is_leader());
         let until = now + self.config.feed_timeout;
         self.pause = Some(Pause { leader_seen, until });
     }
@@ -165,7 +165,7 @@
         if !self.config.disk {
             return;
         }
-        self.set_standing(Standing::Member);
+        self.set_eligibility(Eligibility::Eligible);
         let content = Content::Voters(voters);
         self.log.push(Entry {
             term: 0,
@@ -175,11 +175,11 @@
         self.flush();
     }
 
-    pub(super) fn set_standing(&mut self, standing: Standing) {
-        self.standing = standing;
-        let voting = standing == Standing::Member;
+    pub(super) fn set_eligibility(&mut self, eligibility: Eligibility) {
+        self.eligibility = eligibility;
+        let voting = eligibility == Eligibility::Eligible;
         self.outbox
-            .write(Record::Standing { voting }, self.log.written());
+            .write(Record::Eligibility { voting }, self.log.written());
     }
 
     /// Hands the snapshot that the log starts with to the state machine.
@@ -243,9 +243,9 @@
             Message::AppendReply {
                 term,
                 sent,
-                verdict,
+                outcome,
             } => {
-                self.on_append_reply(from, term, sent, verdict);
+                self.on_append_reply(from, term, sent, outcome);
             }
             Message::HandOver { term } => self.on_hand_over(from, term),
             Message::Subscribe { last, sent } => self.on_subscribe(from, last, sent),
@@ -393,12 +393,12 @@
     }
 }
 
-fn standing(config: &Config, voting: Option<bool>) -> Standing {
+fn eligibility(config: &Config, voting: Option<bool>) -> Eligibility {
     match voting {
-        _ if !config.disk => Standing::Barred,
-        Some(true) => Standing::Member,
-        Some(false) => Standing::Barred,
-        None if config.protections.standing => Standing::Unknown,
-        None => Standing::Member,
+        _ if !config.disk => Eligibility::Ineligible,
+        Some(true) => Eligibility::Eligible,
+        Some(false) => Eligibility::Ineligible,
+        None if config.protections.eligibility => Eligibility::Unknown,
+        None => Eligibility::Eligible,
     }
 }
--- a/src/core/consensus/replication.rs
+++ b/src/core/consensus/replication.rs
@@ -3,8 +3,8 @@
 use super::{
     interface::{Content, Entry, Index, Output, Payload, Record, Resignation, Term},
     leader::{Progress, quorum},
-    message::{Message, Position, Verdict},
-    node::{Node, Role, Standing},
+    message::{AppendOutcome, Message, Position},
+    node::{Eligibility, Node, Role},
     restored::Snapshot,
     snapshot::Transfer,
 };
@@ -15,12 +15,12 @@
 
 impl Node {
     pub(super) fn propose(&mut self, proposal: u64, content: Content) {
-        if !self.is_leader() || self.is_handing() || self.is_backlog_full() {
+        if !self.is_leader() || self.is_handing_over() || self.is_backlog_full() {
             self.reject(proposal);
             return;
         }
         let Position { term, index } = self.append_own(content);
-        self.outbox.push(Output::Placed {
+        self.outbox.push(Output::Appended {
             proposal,
             term,
             index,
@@ -49,7 +49,7 @@
             self.config.protections.lease && self.has_lost_quorum() && !self.grant_grace();
         if quorum_lost || self.is_disk_stalled() {
             self.resign(if quorum_lost {
-                Resignation::Unheard
+                Resignation::NoQuorum
             } else {
                 Resignation::Stalled
             });
@@ -231,11 +231,11 @@
 
     /// Whether to accept a leader's message. If so, this node follows that leader from now on.
     pub(super) fn accept_leader(&mut self, from: NodeId, term: Term, sent: Now) -> bool {
-        if self.standing != Standing::Member {
+        if self.eligibility != Eligibility::Eligible {
             return false;
         }
         if term < self.term {
-            let reply = self.reply(sent, Verdict::Conflict(self.log.last().index + 1));
+            let reply = self.reply(sent, AppendOutcome::Conflict(self.log.last().index + 1));
             self.outbox.send_synced(from, reply);
             return false;
         }
@@ -258,7 +258,7 @@
     ) {
         let heartbeat = entries.is_empty();
         if !self.contains(prev) {
-            let reply = self.reply(sent, Verdict::Conflict(self.conflict_hint(prev)));
+            let reply = self.reply(sent, AppendOutcome::Conflict(self.conflict_hint(prev)));
             self.outbox.send_synced(from, reply);
             return;
         }
@@ -268,21 +268,21 @@
         if heartbeat && self.outbox.is_ballot_synced() {
             // The lease needs no entries on disk, so a slow disk doesn't cost the leader its
             // quorum.
-            let reply = self.reply(sent, Verdict::Matched(last.min(self.log.durable())));
+            let reply = self.reply(sent, AppendOutcome::Matched(last.min(self.log.durable())));
             self.outbox.send(from, reply);
             return;
         }
         self.flush();
-        let reply = self.reply(sent, Verdict::Matched(last));
+        let reply = self.reply(sent, AppendOutcome::Matched(last));
         self.outbox.send_synced(from, reply);
     }
 
     /// The answer, in this node's term, to what a leader sent at `sent`.
-    fn reply(&self, sent: Now, verdict: Verdict) -> Message {
+    fn reply(&self, sent: Now, outcome: AppendOutcome) -> Message {
         Message::AppendReply {
             term: self.term,
             sent,
-            verdict,
+            outcome,
         }
     }
 
@@ -343,15 +343,15 @@
         from: NodeId,
         term: Term,
         sent: Now,
-        verdict: Verdict,
+        outcome: AppendOutcome,
     ) {
         let now = self.now;
         let Some(peer) = self.record_answer(from, term, sent) else {
             return;
         };
-        match verdict {
-            Verdict::Matched(index) => peer.matched(now, index),
-            Verdict::Conflict(hint) => peer.conflict(hint),
+        match outcome {
+            AppendOutcome::Matched(index) => peer.matched(now, index),
+            AppendOutcome::Conflict(hint) => peer.conflict(hint),
         }
     }
 
--- a/src/core/consensus/restored.rs
+++ b/src/core/consensus/restored.rs
@@ -22,7 +22,7 @@
 /// ```
 /// use egretpin::core::consensus::{Record, Restored};
 ///
-/// let records = [Record::Standing { voting: true }, Record::Ballot { term: 3, vote: Some(1) }];
+/// let records = [Record::Eligibility { voting: true }, Record::Ballot { term: 3, vote: Some(1) }];
 /// let restored = Restored::replay(records);
 /// assert_eq!(restored.term, 3);
 /// assert!(!restored.is_empty());
@@ -54,7 +54,7 @@
     /// Replays one more record.
     pub fn push(&mut self, record: Record) {
         match record {
-            Record::Standing { voting } => self.voting = Some(voting),
+            Record::Eligibility { voting } => self.voting = Some(voting),
             Record::Ballot { term, vote } => {
                 self.term = term;
                 self.vote = vote;
@@ -88,7 +88,7 @@
     /// assert_eq!(Restored::replay(records), restored);
     /// ```
     pub fn records(&self) -> Vec<Record> {
-        let standing = self.voting.map(|voting| Record::Standing { voting });
+        let eligibility = self.voting.map(|voting| Record::Eligibility { voting });
         let (term, vote) = (self.term, self.vote);
         let ballot = (term > 0).then_some(Record::Ballot { term, vote });
         let snapshot = self.snapshot.clone().map(|snapshot| Record::Snapshot {
@@ -99,7 +99,7 @@
         });
         let entries = self.entries.clone();
         let entries = (!entries.is_empty()).then_some(Record::Append(entries));
-        let records = [standing, ballot, snapshot, entries];
+        let records = [eligibility, ballot, snapshot, entries];
         records.into_iter().flatten().collect()
     }
 
--- a/src/core/consensus/snapshot.rs
+++ b/src/core/consensus/snapshot.rs
@@ -8,7 +8,7 @@
 use super::{
     interface::{Index, Payload, Term},
     message::{Message, Position},
-    node::{Node, Standing},
+    node::{Eligibility, Node},
     restored::Snapshot,
 };
 use crate::core::types::{NodeId, Now};
@@ -151,7 +151,7 @@
         let led = self
             .leader_seen
             .is_some_and(|seen| self.now < seen + timeout);
-        let known = self.standing != Standing::Unknown;
+        let known = self.eligibility != Eligibility::Unknown;
         known && !led && !self.is_leader() && self.relay() == Some(from)
     }
 
--- a/src/core/consensus/source.rs
+++ b/src/core/consensus/source.rs
@@ -110,7 +110,7 @@
         let is_voter = |n: &NodeId| voters.contains(n);
         // Before it knows the voters, a learner may ask any node.
         let may_relay = |n: &NodeId| *n < id || voters.is_empty();
-        let mut nodes: Vec<_> = self.config.places.iter().map(|p| p.node).collect();
+        let mut nodes: Vec<_> = self.config.locations.iter().map(|p| p.node).collect();
         nodes.extend(voters);
         nodes.retain(|&n| n != id);
         nodes.sort_unstable();
@@ -143,8 +143,8 @@
     }
 
     fn data_centre(&self, node: NodeId) -> Option<&DataCentreId> {
-        let mut places = self.config.places.iter();
-        places.find(|p| p.node == node).map(|p| &p.data_centre)
+        let mut locations = self.config.locations.iter();
+        locations.find(|p| p.node == node).map(|p| &p.data_centre)
     }
 
     /// Adopts a node as the source if it is in touch with a leader and ranks before the present
@@ -168,7 +168,7 @@
         if self.feed.source == Some(from) {
             self.feed.source_seen = self.now;
             let contact = sent.saturating_sub(lag);
-            self.feed.contact = self.feed.contact.max(Some(contact));
+            self.feed.last_contact = self.feed.last_contact.max(Some(contact));
         }
     }
 
--- a/src/core/consensus/view.rs
+++ b/src/core/consensus/view.rs
@@ -5,7 +5,7 @@
 use super::{
     interface::{Entry, Index, Term},
     message::Position,
-    node::{Node, Role, Standing},
+    node::{Eligibility, Node, Role},
 };
 use crate::core::types::{NodeId, Now};
 
@@ -52,7 +52,7 @@
     ///
     /// The time counts from the election at the earliest, except for the former leader. That one
     /// may have been missing since before the election, and has a few heartbeats to answer.
-    pub fn silent(&self, limit: Duration) -> Vec<NodeId> {
+    pub fn silent_voters(&self, limit: Duration) -> Vec<NodeId> {
         let Role::Leader(leader) = &self.role else {
             return Vec::new();
         };
@@ -91,8 +91,8 @@
     }
 
     /// Whether this node may vote under its id.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn eligibility(&self) -> Eligibility {
+        self.eligibility
     }
 
     /// The entry at an index, if the log has it and hasn't dropped it.
@@ -102,14 +102,14 @@
 
     /// Whether this node takes part in elections.
     pub fn is_voter(&self) -> bool {
-        self.standing == Standing::Member && self.voters().contains(&self.config.id)
+        self.eligibility == Eligibility::Eligible && self.voters().contains(&self.config.id)
     }
 
     /// Whether this node is a voter by the last list that is known to be committed. A later list
     /// may still be discarded.
     pub fn is_committed_voter(&self) -> bool {
         let voters = self.log.voters_at(self.committed);
-        self.standing == Standing::Member && voters.contains(&self.config.id)
+        self.eligibility == Eligibility::Eligible && voters.contains(&self.config.id)
     }
 
     /// When a leader with a quorum was last known to lead, by this node's clock. On the leader this
@@ -117,12 +117,12 @@
     /// process, only one that can't have waited in a socket since before the pause. On a learner it
     /// is the last subscription that was answered, less the relay's own lag. `None` before the
     /// first contact.
-    pub fn contact(&self) -> Option<Now> {
+    pub fn last_contact(&self) -> Option<Now> {
         if self.is_leader() {
             return self.quorum_acked();
         }
         if !self.is_voter() {
-            return self.feed.contact();
+            return self.feed.last_contact();
         }
         let pause = self.pause.filter(|p| self.leader_seen < Some(p.until));
         pause.map_or(self.leader_seen, |p| p.leader_seen)
--- a/src/manager/outputs.rs
+++ b/src/manager/outputs.rs
@@ -40,7 +40,7 @@
                 }
                 Err(error) => self.fail(format!("snapshot at {index}: {error}")),
             },
-            Output::Placed {
+            Output::Appended {
                 proposal,
                 term,
                 index,
--- a/src/manager/peers.rs
+++ b/src/manager/peers.rs
@@ -45,14 +45,14 @@
         if self.leaving && self.node.is_leader() {
             return self.hand_over(now);
         }
-        if self.scheduler.is_none() || !self.leads() || self.node.is_changing() {
+        if self.scheduler.is_none() || !self.leads() || self.node.is_changing_voters() {
             return;
         }
         self.found(now);
         let voting = Voting {
             leader: me,
             voters: self.node.voters(),
-            silent: &self.node.silent(self.silence),
+            silent: &self.node.silent_voters(self.silence),
             target: self.voters,
         };
         let wanted = self.members.wanted(now, &voting);
@@ -75,11 +75,11 @@
         let voting = Voting {
             leader: self.node.id(),
             voters: self.node.voters(),
-            silent: &self.node.silent(HEIR),
+            silent: &self.node.silent_voters(HEIR),
             target: self.voters,
         };
         let to = self.members.heir(now, &voting);
-        if to.is_some() && !self.node.is_handing() {
+        if to.is_some() && !self.node.is_handing_over() {
             self.consensus(consensus::Input::HandOver { to });
         }
     }
@@ -207,7 +207,7 @@
             .as_ref()
             .is_none_or(|v| v.controls != view.controls)
         {
-            let place = |(node, data_centre)| consensus::interface::Place { node, data_centre };
+            let place = |(node, data_centre)| consensus::interface::Location { node, data_centre };
             let places = controls.into_iter().map(place).collect();
             self.consensus(consensus::Input::Nodes(places));
         }
--- a/src/node/control/lease.rs
+++ b/src/node/control/lease.rs
@@ -129,7 +129,7 @@
     pub(super) fn tick_activation(&mut self) {
         let now = self.now();
         if self.leader.is_some()
-            && let Some(at) = self.node.contact()
+            && let Some(at) = self.node.last_contact()
         {
             self.step_leader(LeaderInput::Confirmed { at });
         }
--- a/src/node/control/run.rs
+++ b/src/node/control/run.rs
@@ -272,7 +272,7 @@
             Output::Write { write, record } => self.writes.push(Write { write, record }),
             Output::Apply(entry) => self.apply(&entry),
             Output::Restore { index, image } => self.restore(index, &image),
-            Output::Placed {
+            Output::Appended {
                 proposal,
                 term,
                 index,
--- a/src/node/running.rs
+++ b/src/node/running.rs
@@ -308,7 +308,7 @@
     let rng = Pcg64::seed_from_u64(boot.rotate_left(16) ^ settings.node);
     let mut config = consensus::Config::new(settings.node, rng).disk(settings.data.is_some());
     for (node, data_centre) in nodes(settings).iter() {
-        config = config.place(*node, data_centre.clone());
+        config = config.location(*node, data_centre.clone());
     }
     if options.bootstrap {
         config = config.bootstrap(settings.voters.clone());
--- a/tests/consensus/checks.rs
+++ b/tests/consensus/checks.rs
@@ -109,7 +109,7 @@
     let model = Model::new(bounds).safety_only().restrict(&[3], &[2]);
     check("lost disk", model, Model::elected)
         .holds()
-        .fails("standing", MISSING_ENTRY, |p| p.standing = false);
+        .fails("eligibility", MISSING_ENTRY, |p| p.eligibility = false);
 }
 
 #[test]
@@ -139,7 +139,7 @@
     model.max_depth = 10;
     check("hand-over", model, Model::elected)
         .holds()
-        .fails("recall", TWO_LEASES, |p| p.recall = false);
+        .fails("lease release", TWO_LEASES, |p| p.release_lease = false);
 }
 
 #[test]
@@ -170,7 +170,9 @@
     model.voter_lists = vec![vec![1, 4, 5]];
     check("one change of voters", model, Model::elected)
         .holds()
-        .fails("single step", MISSING_ENTRY, |p| p.single_step = false);
+        .fails("single-server changes", MISSING_ENTRY, |p| {
+            p.single_server = false
+        });
 }
 
 #[test]
@@ -255,7 +257,9 @@
     model.joiners = vec![4];
     model.voter_lists = vec![vec![1, 2, 4], vec![1, 2, 3, 4]];
     model.max_depth = 22;
-    check("two changes", model, Model::elected)
-        .holds()
-        .fails("single step", MISSING_ENTRY, |p| p.single_step = false);
+    check("two changes", model, Model::elected).holds().fails(
+        "single-server changes",
+        MISSING_ENTRY,
+        |p| p.single_server = false,
+    );
 }
--- a/tests/consensus/elections.rs
+++ b/tests/consensus/elections.rs
@@ -48,7 +48,7 @@
     let leader = world.elect();
     world.cut(&[1, 2, 3], &[leader]);
     world.until(SECOND, |w| !w.node(leader).is_leader());
-    assert_eq!(world.resigned, [(leader, Resignation::Unheard)]);
+    assert_eq!(world.resigned, [(leader, Resignation::NoQuorum)]);
     world.until(SECOND * 4, |w| w.leader().is_some_and(|l| l != leader));
 }
 
@@ -76,7 +76,7 @@
         world.tick();
     }
     // A leader that is elected in the meantime is delayed, too.
-    assert_eq!(world.resigned[0], (leader, Resignation::Unheard));
+    assert_eq!(world.resigned[0], (leader, Resignation::NoQuorum));
     assert!(!world.node(leader).is_leader());
 }
 
@@ -141,7 +141,7 @@
     let leader = world.elect();
     world.run(SECOND);
     let voter = leader % 3 + 1;
-    let heard = world.node(voter).contact();
+    let heard = world.node(voter).last_contact();
     let waiting = world
         .sent
         .iter()
@@ -157,7 +157,7 @@
             message: message.clone(),
         },
     );
-    assert_eq!(node.contact(), heard, "it waited in a socket");
+    assert_eq!(node.last_contact(), heard, "it waited in a socket");
     let later = later + SECOND;
     for tick in 0..100 {
         node.step(later - SECOND + SECOND / 100 * tick, Input::Tick);
@@ -169,5 +169,5 @@
             message,
         },
     );
-    assert_eq!(node.contact(), Some(later));
+    assert_eq!(node.last_contact(), Some(later));
 }
--- a/tests/consensus/learners.rs
+++ b/tests/consensus/learners.rs
@@ -16,7 +16,7 @@
 fn node_config(id: NodeId) -> Config {
     let places = ["lagos", "ikeja", "lekki"];
     (1..=7).fold(config(id, &VOTERS).disk(id <= 3), |config, node| {
-        config.place(
+        config.location(
             node,
             places.get(node as usize - 1).copied().unwrap_or("yaba"),
         )
@@ -72,7 +72,7 @@
     world.until(SECOND * 3, |w| (4..=7).all(|id| w.commands(id) == [1]));
     for _ in 0..1000 {
         world.tick();
-        let age = |id| world.now - world.node(id).contact().unwrap();
+        let age = |id| world.now - world.node(id).last_contact().unwrap();
         assert!((4..=7).all(|id| age(id) < SECOND), "at {:?}", world.now);
     }
     assert!(world.node(5).relay().is_some_and(|relay| relay <= 3));
@@ -95,7 +95,9 @@
     let place = |id: NodeId| {
         let config = config(id, &voters).disk(voters.contains(&id));
         let nodes = (1..=6).zip(places);
-        nodes.fold(config, |config, (node, centre)| config.place(node, centre))
+        nodes.fold(config, |config, (node, centre)| {
+            config.location(node, centre)
+        })
     };
     let mut world = World::new((1..=6).map(place).collect());
     world.elect();
--- a/tests/consensus/membership.rs
+++ b/tests/consensus/membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use egretpin::core::consensus::{Input, Output, Standing};
+use egretpin::core::consensus::{Eligibility, Input, Output};
 
 use crate::world::{World, config};
 
@@ -17,9 +17,11 @@
     world.crash(dead);
     let rest: Vec<_> = (1..=3).filter(|&id| id != dead).collect();
     world.reconfigure(&rest);
-    let directory = (1..=4).fold(config(4, &[]), |c, id| c.place(id, "north"));
+    let directory = (1..=4).fold(config(4, &[]), |c, id| c.location(id, "north"));
     world.add(directory);
-    world.until(SECOND * 2, |w| w.node(4).standing() == Standing::Member);
+    world.until(SECOND * 2, |w| {
+        w.node(4).eligibility() == Eligibility::Eligible
+    });
     let voters = [rest[0], rest[1], 4];
     world.reconfigure(&voters);
     world.crash(leader);
@@ -33,12 +35,14 @@
     let leader = world.elect();
     let lost = leader % 3 + 1;
     world.crash(lost);
-    let directory = (1..=3).fold(config(lost, &[]), |c, id| c.place(id, "north"));
+    let directory = (1..=3).fold(config(lost, &[]), |c, id| c.location(id, "north"));
     world.add(directory);
-    world.until(SECOND * 2, |w| w.node(lost).standing() == Standing::Barred);
+    world.until(SECOND * 2, |w| {
+        w.node(lost).eligibility() == Eligibility::Ineligible
+    });
     world.crash(lost);
     world.start(lost);
-    assert_eq!(world.node(lost).standing(), Standing::Barred);
+    assert_eq!(world.node(lost).eligibility(), Eligibility::Ineligible);
     world.commit(1);
     world.run(SECOND);
     assert_eq!(world.commands(lost), [1], "it still receives entries");
@@ -68,7 +72,7 @@
         answers[..],
         [
             Output::Rejected { proposal: 1, .. },
-            Output::Placed { proposal: 2, .. },
+            Output::Appended { proposal: 2, .. },
             Output::Rejected { proposal: 3, .. }
         ]
     ));
@@ -129,13 +133,18 @@
     let limit = SECOND * 3 / 2;
     world.crash(gone);
     world.run(SECOND);
-    assert!(world.node(leader).silent(limit).is_empty());
+    assert!(world.node(leader).silent_voters(limit).is_empty());
     world.run(SECOND);
-    assert_eq!(world.node(leader).silent(limit), [gone]);
-    assert!(world.node(6 - leader - gone).silent(limit).is_empty());
+    assert_eq!(world.node(leader).silent_voters(limit), [gone]);
+    assert!(
+        world
+            .node(6 - leader - gone)
+            .silent_voters(limit)
+            .is_empty()
+    );
     world.start(gone);
     world.run(SECOND);
-    assert!(world.node(leader).silent(limit).is_empty());
+    assert!(world.node(leader).silent_voters(limit).is_empty());
 }
 
 #[test]
@@ -148,12 +157,12 @@
     let limit = SECOND * 3 / 2;
     world.run(SECOND * 3);
     assert!(
-        world.node(leader).silent(limit).is_empty(),
+        world.node(leader).silent_voters(limit).is_empty(),
         "no entry waits for its disk"
     );
     world.commit(2);
     world.run(SECOND * 2);
-    assert_eq!(world.node(leader).silent(limit), [hung]);
+    assert_eq!(world.node(leader).silent_voters(limit), [hung]);
 }
 
 #[test]
@@ -161,9 +170,11 @@
     let mut world = World::voters(3);
     let leader = world.elect();
     world.commit(1);
-    let directory = (1..=4).fold(config(4, &[]), |c, id| c.place(id, "north"));
+    let directory = (1..=4).fold(config(4, &[]), |c, id| c.location(id, "north"));
     world.add(directory);
-    world.until(SECOND * 2, |w| w.node(4).standing() == Standing::Member);
+    world.until(SECOND * 2, |w| {
+        w.node(4).eligibility() == Eligibility::Eligible
+    });
     world.run(SECOND);
     world.stalled_disks.insert(4);
     world.commit(2);
@@ -174,10 +185,10 @@
             voters: vec![1, 2, 3, 4],
         },
     );
-    assert!(world.node(leader).is_changing());
+    assert!(world.node(leader).is_changing_voters());
     // More entries than a new voter may lack when it is added.
     (3..30).for_each(|command| world.commit(command));
-    world.until(SECOND * 2, |w| !w.node(leader).is_changing());
+    world.until(SECOND * 2, |w| !w.node(leader).is_changing_voters());
     assert_eq!(world.node(leader).voters(), [1, 2, 3]);
     world.commit(30);
 }
@@ -192,7 +203,9 @@
     let lost = world.now;
     world.until(SECOND * 2, |w| w.leader().is_some_and(|l| l != gone));
     let leader = world.leader().unwrap();
-    world.until(SECOND * 2, |w| w.node(leader).silent(limit) == [gone]);
+    world.until(SECOND * 2, |w| {
+        w.node(leader).silent_voters(limit) == [gone]
+    });
     let took = world.now - lost;
     assert!(took <= SECOND * 17 / 10, "{took:?}");
 }
--- a/tests/consensus/model.rs
+++ b/tests/consensus/model.rs
@@ -16,8 +16,8 @@
 use egretpin::core::{
     cluster::Claim,
     consensus::{
-        Config, Content, Entry, Index, Input, Message, Node, Output, Payload, Protections, Record,
-        Restored, Term, Verdict,
+        AppendOutcome, Config, Content, Entry, Index, Input, Message, Node, Output, Payload,
+        Protections, Record, Restored, Term,
     },
     types::{NodeId, Now},
 };
@@ -586,7 +586,7 @@
                     self.record_violation("a snapshot differs from what was applied");
                 }
             }
-            Output::Placed { .. } | Output::Rejected { .. } | Output::Resigned { .. } => {}
+            Output::Appended { .. } | Output::Rejected { .. } | Output::Resigned { .. } => {}
         }
     }
 
@@ -718,9 +718,9 @@
             term > to.node.term() || (granted && term >= to.disk.term && !to.node.is_leader())
         }
         // An answer without news never has any later: what a leader knows only grows.
-        Message::AppendReply { term, verdict, .. } => {
+        Message::AppendReply { term, outcome, .. } => {
             let leads = term == to.node.term() && to.node.is_leader();
-            let matched = matches!(verdict, Verdict::Matched(_));
+            let matched = matches!(outcome, AppendOutcome::Matched(_));
             term > to.node.term() || (leads && !(matched && has_no_effect(message, from, to)))
         }
         Message::PreVoteReply { term, granted, .. } => granted && term > to.disk.term,
--- a/tests/consensus/random.rs
+++ b/tests/consensus/random.rs
@@ -25,7 +25,7 @@
         .chunk(300)
         .protections(protections.clone());
     (1..=DIRECTORY_SIZE).fold(config, |config, node| {
-        config.place(
+        config.location(
             node,
             places.get(node as usize - 1).copied().unwrap_or("enns"),
         )
--- a/tests/consensus/replication.rs
+++ b/tests/consensus/replication.rs
@@ -13,7 +13,7 @@
     let voters = [1, 2, 3];
     let configs = (1..=6).map(|id| {
         let places = (1..=6).fold(config(id, &voters), |c, n| {
-            c.place(n, if n <= 3 { "north" } else { "south" })
+            c.location(n, if n <= 3 { "north" } else { "south" })
         });
         places.disk(id <= 3)
     });
@@ -25,8 +25,11 @@
     for proposal in 0..100 {
         world.propose(leader, proposal);
     }
-    let placed = |a: &Output| matches!(a, Output::Placed { .. });
-    assert_eq!(world.answers.iter().filter(|(_, a)| placed(a)).count(), 100);
+    let appended = |a: &Output| matches!(a, Output::Appended { .. });
+    assert_eq!(
+        world.answers.iter().filter(|(_, a)| appended(a)).count(),
+        100
+    );
     world.run(SECOND);
     for id in 1..=6 {
         assert_eq!(
--- a/tests/consensus/world.rs
+++ b/tests/consensus/world.rs
@@ -63,7 +63,7 @@
     pub(crate) stalled_disks: BTreeSet<NodeId>,
     /// The reference log: one copy, filled by whichever node applies an index first.
     pub(crate) history: BTreeMap<Index, Entry>,
-    /// Answers to proposals: placed or rejected.
+    /// Answers to proposals: appended or rejected.
     pub(crate) answers: Vec<(NodeId, Output)>,
     /// The leaders that stepped down, and the reasons, in order.
     pub(crate) resigned: Vec<(NodeId, Resignation)>,
--- a/tests/disk/world.rs
+++ b/tests/disk/world.rs
@@ -46,7 +46,7 @@
 pub(crate) fn script() -> Vec<Batch> {
     vec![
         vec![
-            Record::Standing { voting: true },
+            Record::Eligibility { voting: true },
             ballot(1),
             entries(1, 1, 3),
         ],
@@ -81,7 +81,7 @@
         let mut state = Self::default();
         for record in batches.iter().flatten() {
             match record {
-                Record::Standing { voting } => state.standing = Some(*voting),
+                Record::Eligibility { voting } => state.standing = Some(*voting),
                 Record::Ballot { term, .. } => state.term = *term,
                 Record::Append(new) => {
                     state.entries.retain(|i, _| *i < new[0].index);
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -94,7 +94,7 @@
 
 fn voter() -> Vec<Record> {
     vec![
-        Record::Standing { voting: true },
+        Record::Eligibility { voting: true },
         Record::Ballot {
             term: 1,
             vote: Some(1),
