--- a/src/adapters/disk/mirror.rs
+++ b/src/adapters/disk/mirror.rs
@@ -22,12 +22,12 @@
                 index,
                 term,
                 voters,
-                image,
+                data,
             } => Some(Snapshot {
                 index: *index,
                 term: *term,
                 voters: voters.clone(),
-                image: image.clone(),
+                image: data.clone(),
             }),
             _ => None,
         })
--- a/src/adapters/disk/mod.rs
+++ b/src/adapters/disk/mod.rs
@@ -153,7 +153,7 @@
                     index: s.index,
                 },
                 voters: s.voters,
-                image: s.image,
+                data: s.image,
             }),
             entries: self.entries,
         }
--- a/src/core/consensus/interface.rs
+++ b/src/core/consensus/interface.rs
@@ -95,7 +95,7 @@
         /// The last index that the snapshot includes.
         index: Index,
         /// The state machine's snapshot.
-        image: Payload,
+        snapshot: Payload,
     },
 }
 
@@ -123,7 +123,7 @@
         /// The last index that the snapshot includes.
         index: Index,
         /// The state machine's snapshot.
-        image: Payload,
+        snapshot: Payload,
     },
     /// The proposal was appended to the log. It is committed only when an entry with this index and
     /// term is applied.
@@ -206,6 +206,6 @@
         voters: Vec<NodeId>,
         /// The state machine's snapshot.
         #[serde(rename = "image")]
-        image: Payload,
+        data: Payload,
     },
 }
--- a/src/core/consensus/node.rs
+++ b/src/core/consensus/node.rs
@@ -139,7 +139,7 @@
             Input::Retire => self.retiring = true,
             Input::Nodes(locations) => self.config.locations = locations,
             Input::Synced { write } => self.synced(write),
-            Input::Compact { index, image } => self.compact(index, image),
+            Input::Compact { index, snapshot } => self.compact(index, snapshot),
         }
         self.advance();
         self.outbox.drain()
@@ -189,8 +189,8 @@
             return;
         }
         let index = snapshot.last.index;
-        let image = snapshot.image.clone();
-        self.outbox.push(Output::Restore { index, image });
+        let snapshot = snapshot.data.clone();
+        self.outbox.push(Output::Restore { index, snapshot });
     }
 
     fn tick(&mut self) {
--- a/src/core/consensus/replication.rs
+++ b/src/core/consensus/replication.rs
@@ -356,7 +356,7 @@
     }
 
     /// Makes the state machine's snapshot the log's start.
-    pub(super) fn compact(&mut self, index: Index, image: Payload) {
+    pub(super) fn compact(&mut self, index: Index, data: Payload) {
         if index <= self.log.base() || index > self.applied {
             return;
         }
@@ -364,24 +364,20 @@
             return;
         };
         let voters = self.log.voters_at(index).to_vec();
-        self.install_snapshot(Snapshot {
-            last,
-            voters,
-            image,
-        });
+        self.install_snapshot(Snapshot { last, voters, data });
     }
 
     /// Makes a snapshot the log's start, in memory and on disk.
     pub(super) fn install_snapshot(&mut self, snapshot: Snapshot) {
         let Position { term, index } = snapshot.last;
-        let (voters, image) = (snapshot.voters.clone(), snapshot.image.clone());
+        let (voters, data) = (snapshot.voters.clone(), snapshot.data.clone());
         self.log.compact(snapshot);
         self.outbox.write(
             Record::Snapshot {
                 index,
                 term,
                 voters,
-                image,
+                data,
             },
             index,
         );
--- a/src/core/consensus/restored.rs
+++ b/src/core/consensus/restored.rs
@@ -14,7 +14,7 @@
     /// The voters as of that entry.
     pub voters: Vec<NodeId>,
     /// The state machine's snapshot.
-    pub image: Payload,
+    pub data: Payload,
 }
 
 /// The combined effect of the records on a disk, in the order in which they were written.
@@ -64,14 +64,10 @@
                 index,
                 term,
                 voters,
-                image,
+                data,
             } => {
                 let last = Position { term, index };
-                self.install_snapshot(Snapshot {
-                    last,
-                    voters,
-                    image,
-                });
+                self.install_snapshot(Snapshot { last, voters, data });
             }
         }
     }
@@ -95,7 +91,7 @@
             index: snapshot.last.index,
             term: snapshot.last.term,
             voters: snapshot.voters,
-            image: snapshot.image,
+            data: snapshot.data,
         });
         let entries = self.entries.clone();
         let entries = (!entries.is_empty()).then_some(Record::Append(entries));
--- a/src/core/consensus/snapshot.rs
+++ b/src/core/consensus/snapshot.rs
@@ -34,12 +34,12 @@
 
     /// The next chunk, or the last one again.
     pub(super) fn next_chunk(&mut self, term: Term, size: usize, now: Now) -> Message {
-        let image = &self.snapshot.image;
-        let total = image.len() as u64;
+        let data = &self.snapshot.data;
+        let total = data.len() as u64;
         let start = usize::try_from(self.held)
             .unwrap_or(usize::MAX)
-            .min(image.len());
-        let end = start.saturating_add(size.max(1)).min(image.len());
+            .min(data.len());
+        let end = start.saturating_add(size.max(1)).min(data.len());
         self.sent = Some(now);
         Message::Chunk {
             term,
@@ -47,7 +47,7 @@
             voters: self.snapshot.voters.clone(),
             offset: start as u64,
             total,
-            part: image.slice(start..end),
+            part: data.slice(start..end),
             sent: now,
         }
     }
@@ -69,7 +69,7 @@
         }
         self.sent = None;
         self.held = held;
-        let total = self.snapshot.image.len() as u64;
+        let total = self.snapshot.data.len() as u64;
         if held >= total {
             ChunkOutcome::Done(index)
         } else {
@@ -175,13 +175,9 @@
         let Some(incoming) = self.incoming.take() else {
             return;
         };
-        let image = Payload::from(incoming.bytes);
+        let data = Payload::from(incoming.bytes);
         self.flush();
-        self.install_snapshot(Snapshot {
-            last,
-            voters,
-            image,
-        });
+        self.install_snapshot(Snapshot { last, voters, data });
         self.committed = last.index;
         self.applied = last.index;
         self.restore();
--- a/src/manager/control.rs
+++ b/src/manager/control.rs
@@ -588,7 +588,10 @@
         self.compacted = index;
         self.bytes = 0;
         let image = self.ledger.image();
-        self.consensus(consensus::Input::Compact { index, image });
+        self.consensus(consensus::Input::Compact {
+            index,
+            snapshot: image,
+        });
     }
 
     fn flush(&mut self) {
--- a/src/manager/outputs.rs
+++ b/src/manager/outputs.rs
@@ -29,7 +29,7 @@
             }
             Output::Write { write, record } => self.writes.push(Write { write, record }),
             Output::Apply(entry) => self.apply(&entry),
-            Output::Restore { index, image } => match Ledger::from_image(&image) {
+            Output::Restore { index, snapshot } => match Ledger::from_image(&snapshot) {
                 Ok(ledger) => {
                     log::info!(index; "the ledger was restored from a snapshot");
                     self.ledger = ledger;
--- a/src/node/control/run.rs
+++ b/src/node/control/run.rs
@@ -271,7 +271,7 @@
             Output::Send { to, message } => self.send(to, ControlFrame::Consensus(message)),
             Output::Write { write, record } => self.writes.push(Write { write, record }),
             Output::Apply(entry) => self.apply(&entry),
-            Output::Restore { index, image } => self.restore(index, &image),
+            Output::Restore { index, snapshot } => self.restore(index, &snapshot),
             Output::Appended {
                 proposal,
                 term,
@@ -429,7 +429,10 @@
         }
         self.compacted = index;
         let image = self.state.image();
-        self.consensus(consensus::Input::Compact { index, image });
+        self.consensus(consensus::Input::Compact {
+            index,
+            snapshot: image,
+        });
     }
 
     fn flush(&mut self) {
--- a/tests/consensus/model.rs
+++ b/tests/consensus/model.rs
@@ -468,8 +468,8 @@
             let mut later = state.clone();
             later.remaining.compactions -= 1;
             let index = host.node.committed();
-            let image = image(&state.history.applied, index);
-            later.step_both(at, &Input::Compact { index, image }, state, next);
+            let snapshot = state_snapshot(&state.history.applied, index);
+            later.step_both(at, &Input::Compact { index, snapshot }, state, next);
         }
         if !host.node.is_leader() {
             return;
@@ -581,8 +581,8 @@
                 self.hosts[at].edit().unsynced.push((write, record));
             }
             Output::Apply(entry) => self.apply(&entry),
-            Output::Restore { index, image: held } => {
-                if held != image(&self.history.applied, index) {
+            Output::Restore { index, snapshot } => {
+                if snapshot != state_snapshot(&self.history.applied, index) {
                     self.record_violation("a snapshot differs from what was applied");
                 }
             }
@@ -741,7 +741,7 @@
 }
 
 /// The state machine's snapshot: a digest of what it applied.
-fn image(applied: &[Entry], index: Index) -> Payload {
+fn state_snapshot(applied: &[Entry], index: Index) -> Payload {
     let applied = applied.iter().filter(|e| e.index <= index);
     let bytes = applied.flat_map(|e| match &e.content {
         Content::Command(payload) => vec![e.term as u8, payload[0]],
--- a/tests/consensus/world.rs
+++ b/tests/consensus/world.rs
@@ -205,8 +205,8 @@
                 );
                 host.applied.insert(entry.index, entry);
             }
-            Output::Restore { index, image } => {
-                host.applied = ciborium::from_reader(image.as_ref()).unwrap();
+            Output::Restore { index, snapshot } => {
+                host.applied = ciborium::from_reader(snapshot.as_ref()).unwrap();
                 assert_eq!(host.applied.last_key_value().map(|(&i, _)| i), Some(index));
                 let same = |(i, e): (&Index, &Entry)| self.history.get(i) == Some(e);
                 assert!(
@@ -347,14 +347,14 @@
     /// Makes a node's state machine pass in its snapshot.
     pub(crate) fn compact(&mut self, id: NodeId) {
         let applied = &self.hosts[&id].applied;
-        let mut image = Vec::new();
-        ciborium::into_writer(applied, &mut image).unwrap();
+        let mut snapshot = Vec::new();
+        ciborium::into_writer(applied, &mut snapshot).unwrap();
         let index = applied.last_key_value().map_or(0, |(&i, _)| i);
         self.input(
             id,
             Input::Compact {
                 index,
-                image: image.into(),
+                snapshot: snapshot.into(),
             },
         );
     }
--- a/tests/disk/world.rs
+++ b/tests/disk/world.rs
@@ -37,7 +37,7 @@
         index,
         term,
         voters: vec![1, 2, 3],
-        image: Bytes::from(vec![7; 9_000]),
+        data: Bytes::from(vec![7; 9_000]),
     }
 }
 
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -124,7 +124,7 @@
         index: INDEX,
         term: 1,
         voters: vec![1],
-        image,
+        data: image,
     });
     records
 }
