--- a/tests/consensus/checks.rs
+++ b/tests/consensus/checks.rs
@@ -170,9 +170,7 @@
     model.voter_lists = vec![vec![1, 4, 5]];
     check("one change of voters", model, Model::elected)
         .holds()
-        .fails("single-server changes", MISSING_ENTRY, |p| {
-            p.single_server = false
-        });
+        .fails("single server", MISSING_ENTRY, |p| p.single_server = false);
 }
 
 #[test]
@@ -258,7 +256,7 @@
     model.voter_lists = vec![vec![1, 2, 4], vec![1, 2, 3, 4]];
     model.max_depth = 22;
     check("two changes", model, Model::elected).holds().fails(
-        "single-server changes",
+        "single server",
         MISSING_ENTRY,
         |p| p.single_server = false,
     );
