--- a/tests/consensus/elections.rs
+++ b/tests/consensus/elections.rs
@@ -141,7 +141,7 @@
     let leader = world.elect();
     world.run(SECOND);
     let voter = leader % 3 + 1;
-    let heard = world.node(voter).last_contact();
+    let before_pause = world.node(voter).last_contact();
     let waiting = world
         .sent
         .iter()
@@ -157,7 +157,7 @@
             message: message.clone(),
         },
     );
-    assert_eq!(node.last_contact(), heard, "it waited in a socket");
+    assert_eq!(node.last_contact(), before_pause, "it waited in a socket");
     let later = later + SECOND;
     for tick in 0..100 {
         node.step(later - SECOND + SECOND / 100 * tick, Input::Tick);
--- a/tests/consensus/learners.rs
+++ b/tests/consensus/learners.rs
@@ -92,14 +92,14 @@
 fn a_data_centre_that_is_cut_off_names_no_leader_though_its_voter_was_skipped() {
     let places = ["lagos", "lagos", "ikeja", "ikeja", "lekki", "lekki"];
     let voters: [NodeId; 3] = [1, 3, 5];
-    let place = |id: NodeId| {
+    let with_locations = |id: NodeId| {
         let config = config(id, &voters).disk(voters.contains(&id));
         let nodes = (1..=6).zip(places);
         nodes.fold(config, |config, (node, centre)| {
             config.location(node, centre)
         })
     };
-    let mut world = World::new((1..=6).map(place).collect());
+    let mut world = World::new((1..=6).map(with_locations).collect());
     world.elect();
     world.run(SECOND * 5);
     // The voter is too busy to answer the learner beside it, which switches to another data centre.
