--- a/src/core/consensus/feed.rs
+++ b/src/core/consensus/feed.rs
@@ -40,6 +40,7 @@
 /// The state of both ends of feeding: the source of this node, and the nodes that it feeds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Feed {
+    /// When this node started.
     pub(super) started: Now,
     /// The node that feeds this one.
     pub(super) source: Option<NodeId>,
@@ -55,6 +56,7 @@
     pub(super) skipped: BTreeMap<NodeId, Skip>,
     /// The voters as the last feed named them.
     pub(super) voters: Vec<NodeId>,
+    /// The nodes that this one feeds.
     pub(super) subscribers: BTreeMap<NodeId, Subscriber>,
 }
 
--- a/src/core/consensus/membership.rs
+++ b/src/core/consensus/membership.rs
@@ -165,7 +165,7 @@
     }
 
     /// Starts to hand leadership over to another voter, the most advanced if none is named. No
-    /// proposal is accepted from now on; the other voter is asked to campaign as soon as it has all
+    /// proposal is accepted from now on; the other voter is asked to campaign once it has all
     /// entries.
     pub(super) fn hand_over(&mut self, to: Option<NodeId>) {
         let until = self.now + self.config.election_min;
--- a/src/core/consensus/node.rs
+++ b/src/core/consensus/node.rs
@@ -63,8 +63,9 @@
     pub(super) term: Term,
     pub(super) vote: Option<NodeId>,
     pub(super) role: Role,
+    /// The current leader, as far as this node knows.
     pub(super) leader: Option<NodeId>,
-    /// The leader that last sent something, possibly long ago.
+    /// The leader whose message arrived last, possibly long ago.
     pub(super) last_leader: Option<NodeId>,
     /// Whether this node is about to stop, so that it must not become leader.
     pub(super) retiring: bool,
--- a/src/core/consensus/outbox.rs
+++ b/src/core/consensus/outbox.rs
@@ -1,4 +1,7 @@
 //! The outputs of the current step, and messages that wait for the disk.
+//!
+//! A message that promises something, such as a vote or a stored entry, must not leave before the
+//! disk holds it.
 
 use std::collections::VecDeque;
 
--- a/src/core/consensus/replication.rs
+++ b/src/core/consensus/replication.rs
@@ -1,4 +1,9 @@
 //! Replication: the leader's entries reach the other voters' logs, and are committed.
+//!
+//! A leader sends each peer the entries that follow what the peer is believed to hold, and commits
+//! an entry of its own term once a majority of the voters has it on disk. A peer accepts entries
+//! only if its log contains the position before them; it truncates its log where that differs. A
+//! leader never overwrites entries of its own log.
 
 use super::{
     interface::{Content, Entry, Index, Output, Payload, Record, Resignation, Term},
