--- a/src/adapters/disk/mod.rs
+++ b/src/adapters/disk/mod.rs
@@ -43,7 +43,7 @@
 //!
 //! A voter whose folder was emptied has forgotten its votes and must not vote under its old node
 //! id again. Consensus sees to that: it finds no standing in an empty folder, asks the cluster
-//! whether the id is a voter's already, and writes the answer as [`Record::Standing`] before
+//! whether the id is a voter's already, and writes the answer as [`Record::Eligibility`] before
 //! anything else. A lost disk is barred by it for good, and the voter is replaced by a membership
 //! change under a new node id. The folder's part is to keep the standing through every checkpoint,
 //! to say in [`Restored::fresh`] that it was just made, and to refuse a node id that isn't the one
@@ -53,7 +53,7 @@
 //! # Example
 //!
 //! ```
-//! use egretpin::{adapters::disk::Disk, core::consensus::seam::Record};
+//! use egretpin::{adapters::disk::Disk, core::consensus::interface::Record};
 //!
 //! let folder = tempfile::tempdir()?;
 //! let (mut disk, restored) = Disk::open(folder.path(), 1)?;
@@ -74,7 +74,7 @@
 use crate::core::{
     consensus::{
         self,
-        seam::{Entry, Index, Payload, Record, Term},
+        interface::{Entry, Index, Payload, Record, Term},
     },
     types::NodeId,
 };
@@ -153,7 +153,7 @@
                     index: s.index,
                 },
                 voters: s.voters,
-                image: s.image,
+                data: s.image,
             }),
             entries: self.entries,
         }
--- a/src/core/consensus/election.rs
+++ b/src/core/consensus/election.rs
@@ -1,48 +1,55 @@
-//! Elections: pre-votes, votes, and the promise to a leader lately heard.
+//! Elections: pre-votes, votes, and the promise that a voter makes to a leader.
+//!
+//! A voter that receives nothing from a leader for its election timeout campaigns: it asks the
+//! others whether they would vote for it, and only if a majority would, it enters the next term and
+//! asks for their votes. A voter grants one vote a term, to a candidate whose log is at least as
+//! advanced as its own. It grants none while it has recently received from a leader, unless that
+//! leader itself asked for the election. A leader's lease rests on this promise.
 
 use std::collections::BTreeSet;
 
 use super::{
+    interface::{Content, Term},
     leader::{Leader, Progress},
     message::{Message, Position},
-    node::{Node, Role, Standing},
-    seam::{Content, Term},
+    node::{Eligibility, Node, Role},
 };
 use crate::core::types::NodeId;
 
 impl Node {
-    /// No leader was heard for long enough: ask for votes, or first whether they would come.
+    /// Starts a campaign because nothing arrived from a leader for long enough. Asks for pre-votes
+    /// first, unless these are off.
     pub(super) fn campaign(&mut self) {
         self.leader = None;
-        self.postpone();
+        self.reset_election_deadline();
         if self.config.protections.pre_vote {
-            self.ask_pre_votes();
+            self.request_pre_votes();
         } else {
-            self.ask_votes(false);
+            self.request_votes(false);
         }
     }
 
-    fn ask_pre_votes(&mut self) {
+    fn request_pre_votes(&mut self) {
         let granted = BTreeSet::from([self.config.id]);
         let elected = self.is_majority(&granted);
         self.role = Role::PreCandidate { granted };
         if elected {
-            self.ask_votes(false);
+            self.request_votes(false);
             return;
         }
         let message = Message::PreVote {
             term: self.term + 1,
             last: self.log.last(),
         };
-        for voter in self.others() {
+        for voter in self.other_voters() {
             self.outbox.send(voter, message.clone());
         }
     }
 
-    /// Campaigns in the next term. The requests wait until the candidate's own vote is on disk: a
-    /// candidate that forgot it could ask again in the same term with a shorter log, and count
-    /// votes given to the longer one.
-    pub(super) fn ask_votes(&mut self, handover: bool) {
+    /// Campaigns in the next term. The requests wait until the candidate's own vote is on disk. A
+    /// candidate that lost its vote in a crash could campaign again in the same term with a shorter
+    /// log, and count votes that were given to the longer one.
+    pub(super) fn request_votes(&mut self, handover: bool) {
         let write = self.set_term(self.term + 1, Some(self.config.id));
         self.leader = None;
         self.role = Role::Candidate {
@@ -54,7 +61,7 @@
             last: self.log.last(),
             handover,
         };
-        for voter in self.others() {
+        for voter in self.other_voters() {
             self.outbox.send_synced(voter, message.clone());
         }
         self.count_own_vote();
@@ -71,9 +78,9 @@
         }
     }
 
-    pub(super) fn pre_vote(&mut self, from: NodeId, term: Term, last: Position) {
+    pub(super) fn on_pre_vote(&mut self, from: NodeId, term: Term, last: Position) {
         let fresh = term > self.term && last >= self.log.last();
-        let granted = fresh && self.may_vote() && !self.has_promise();
+        let granted = fresh && self.may_vote() && !self.is_bound_by_lease();
         let current = self.term;
         self.outbox.send(
             from,
@@ -85,7 +92,7 @@
         );
     }
 
-    pub(super) fn pre_vote_reply(
+    pub(super) fn on_pre_vote_reply(
         &mut self,
         from: NodeId,
         term: Term,
@@ -105,15 +112,15 @@
         granted.insert(from);
         let granted = granted.clone();
         if self.is_majority(&granted) {
-            self.ask_votes(false);
+            self.request_votes(false);
         }
     }
 
-    pub(super) fn vote(&mut self, from: NodeId, term: Term, last: Position, handover: bool) {
+    pub(super) fn on_vote(&mut self, from: NodeId, term: Term, last: Position, handover: bool) {
         if !self.may_vote() {
             return;
         }
-        if term < self.term || (self.has_promise() && !handover) {
+        if term < self.term || (self.is_bound_by_lease() && !handover) {
             let term = self.term;
             self.outbox.send_synced(
                 from,
@@ -131,13 +138,13 @@
         let granted = free && last >= self.log.last() && !self.is_leader();
         if granted && self.vote.is_none() {
             self.set_term(term, Some(from));
-            self.postpone();
+            self.reset_election_deadline();
         }
         self.outbox
             .send_synced(from, Message::VoteReply { term, granted });
     }
 
-    pub(super) fn vote_reply(&mut self, from: NodeId, term: Term, granted: bool) {
+    pub(super) fn on_vote_reply(&mut self, from: NodeId, term: Term, granted: bool) {
         if term > self.term {
             self.step_down(term);
             return;
@@ -156,51 +163,53 @@
             return;
         };
         if self.is_majority(granted) {
-            self.lead();
+            self.become_leader();
         }
     }
 
-    fn lead(&mut self) {
-        let former = self.former.zip(self.heard);
-        let mut leader = Leader::new(self.term, self.now, former);
+    fn become_leader(&mut self) {
+        let predecessor = self.last_leader.zip(self.leader_seen);
+        let mut leader = Leader::new(self.term, self.now, predecessor);
         let next = self.log.last().index + 1;
-        for voter in self.others() {
+        for voter in self.other_voters() {
             leader.peers.insert(voter, Progress::new(next));
         }
         self.role = Role::Leader(leader);
         self.leader = Some(self.config.id);
-        self.push(Content::Noop);
+        self.append_own(Content::Noop);
     }
 
-    /// Whether this node votes at all. One that isn't in its own list of voters does too: it may
-    /// have been added by an entry that it hasn't got yet, and be needed for the majority.
+    /// Whether this node votes at all. A node that isn't in its own list of voters votes, too: it
+    /// may have been added by an entry that it doesn't have yet, and its vote may be needed for the
+    /// majority.
     fn may_vote(&self) -> bool {
-        self.standing == Standing::Member
+        self.eligibility == Eligibility::Eligible
     }
 
-    /// Whether a leader may count on this node not to vote for another.
-    fn has_promise(&self) -> bool {
+    /// Whether a leader may rely on this node not to vote for another candidate.
+    fn is_bound_by_lease(&self) -> bool {
         if !self.config.protections.lease {
             return false;
         }
         if self.is_leader() {
             return true;
         }
-        self.heard
-            .is_some_and(|heard| self.now < heard + self.config.election_min)
+        self.leader_seen
+            .is_some_and(|seen| self.now < seen + self.config.election_min)
     }
 
     fn has_no_leader(&self) -> bool {
         self.leader.is_none() && !self.is_leader()
     }
 
-    /// The leader hands over. Its lease ended when it asked, so votes may be given at once.
-    pub(super) fn take_over(&mut self, from: NodeId, term: Term) {
+    /// Campaigns at the leader's request. The leader's lease ended when it sent the request, so
+    /// votes may be granted at once.
+    pub(super) fn on_hand_over(&mut self, from: NodeId, term: Term) {
         let from_leader = self.leader == Some(from) || self.leader.is_none();
         let able = self.is_voter() && !self.retiring;
         if term == self.term && from_leader && able && !self.is_leader() {
-            self.postpone();
-            self.ask_votes(true);
+            self.reset_election_deadline();
+            self.request_votes(true);
         }
     }
 }
--- a/src/core/consensus/feed.rs
+++ b/src/core/consensus/feed.rs
@@ -1,52 +1,62 @@
-//! Followers: committed entries reach the nodes that don't vote, through one relay a data centre.
+//! Learners: committed entries reach the nodes that don't vote, through one relay per data centre.
 //!
-//! A follower subscribes to one source and says so again a few times in each feed timeout; the source pushes
-//! what is committed as soon as it knows. Whoever has committed entries may feed: a voter, or a
-//! follower that relays. Every feed tells how old its sender's own knowledge of a leader is, so a
-//! chain of relays never looks fresher than it is.
+//! A learner subscribes to one source and renews the subscription a few times in each feed timeout.
+//! The source pushes committed entries as soon as it knows of them. Any node that has committed
+//! entries may feed others: a voter, or a learner that acts as a relay. Every feed states how long
+//! ago its sender itself was in touch with a leader, so a chain of relays never looks fresher than
+//! it is.
 
 use std::collections::BTreeMap;
 
 use super::{
+    interface::{Entry, Index},
     message::Message,
-    node::{Node, Standing},
-    seam::{Entry, Index},
-    snapshot::{Answer, Transfer},
-    source::Silence,
+    node::{Eligibility, Node},
+    snapshot::{ChunkOutcome, Transfer},
+    source::Skip,
 };
 use crate::core::types::{NodeId, Now};
 
-/// How many times a follower subscribes in a feed timeout.
-const KEEPALIVES: u32 = 4;
-/// How many feed timeouts a subscription lives.
-const SUBSCRIPTION: u32 = 2;
-/// How many of the longest waits a voter does without a leader before it asks to be fed: it may
-/// have been removed without hearing so.
-const LEADERLESS: u32 = 2;
+/// How many times a learner subscribes in a feed timeout.
+const SUBSCRIBES_PER_FEED_TIMEOUT: u32 = 4;
+/// For how many feed timeouts a subscription lasts.
+const SUBSCRIPTION_FEED_TIMEOUTS: u32 = 2;
+/// For how many of the longest election timeouts a voter waits without a leader before it asks to
+/// be fed: it may have been removed without having received the change.
+const LEADERLESS_ELECTION_TIMEOUTS: u32 = 2;
 
-/// One that is fed.
+/// A node that this one feeds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Subscriber {
+    /// The next index to send.
     next: Index,
+    /// The subscriber's clock in its last subscription.
     sent: Now,
-    seen: Now,
+    /// When its last subscription, or answer to a chunk, arrived.
+    last_seen: Now,
     transfer: Option<Transfer>,
 }
 
-/// Both ends of feeding.
+/// The state of both ends of feeding: the source of this node, and the nodes that it feeds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Feed {
+    /// When this node started.
     pub(super) started: Now,
+    /// The node that feeds this one.
     pub(super) source: Option<NodeId>,
-    /// Sources that have been asked and not answered yet, and since when.
+    /// Nodes that were asked to be the source and haven't answered yet, and since when.
     pub(super) trials: BTreeMap<NodeId, Now>,
     /// When the source last showed that it is in touch with a leader.
-    pub(super) fresh: Now,
-    pub(super) contact: Option<Now>,
-    pub(super) asked: Option<Now>,
-    pub(super) silent: BTreeMap<NodeId, Silence>,
+    pub(super) source_seen: Now,
+    /// The latest time, by this node's clock, at which the source was in touch with a leader.
+    pub(super) last_contact: Option<Now>,
+    /// When this node last asked to be fed.
+    pub(super) subscribed_at: Option<Now>,
+    /// The silent sources, and until when each is skipped.
+    pub(super) skipped: BTreeMap<NodeId, Skip>,
     /// The voters as the last feed named them.
     pub(super) voters: Vec<NodeId>,
+    /// The nodes that this one feeds.
     pub(super) subscribers: BTreeMap<NodeId, Subscriber>,
 }
 
@@ -56,17 +66,17 @@
             started: now,
             source: None,
             trials: BTreeMap::new(),
-            fresh: now,
-            contact: None,
-            asked: None,
-            silent: BTreeMap::new(),
+            source_seen: now,
+            last_contact: None,
+            subscribed_at: None,
+            skipped: BTreeMap::new(),
             voters: Vec::new(),
             subscribers: BTreeMap::new(),
         }
     }
 
-    pub(super) fn contact(&self) -> Option<Now> {
-        self.contact
+    pub(super) fn last_contact(&self) -> Option<Now> {
+        self.last_contact
     }
 }
 
@@ -90,11 +100,11 @@
         }
         self.expire_sources();
         self.forget_leader();
-        let interval = self.config.feed_timeout / KEEPALIVES;
-        let asked = self.feed.asked;
-        let due = asked.is_none_or(|asked| self.now >= asked + interval);
+        let interval = self.config.feed_timeout / SUBSCRIBES_PER_FEED_TIMEOUT;
+        let subscribed_at = self.feed.subscribed_at;
+        let due = subscribed_at.is_none_or(|at| self.now >= at + interval);
         if due {
-            self.ask_sources();
+            self.subscribe_to_sources();
         }
     }
 
@@ -102,44 +112,47 @@
         if self.is_leader() {
             return false;
         }
-        let patience = self.config.election_max * LEADERLESS;
-        let heard = self.heard.unwrap_or(self.feed.started);
-        !self.is_voter() || (self.leader.is_none() && self.now > heard + patience)
+        let patience = self.config.election_max * LEADERLESS_ELECTION_TIMEOUTS;
+        let seen = self.leader_seen.unwrap_or(self.feed.started);
+        !self.is_voter() || (self.leader.is_none() && self.now > seen + patience)
     }
 
-    /// A follower that nobody feeds knows of no leader. One that went on naming the last would be
-    /// taken for connected, and what is asked of it would wait for an answer that can't come.
+    /// Clears a learner's leader once no source feeds the learner. If it went on naming the last
+    /// one, callers would take it for connected, and their requests would wait for an answer that
+    /// can't come.
     fn forget_leader(&mut self) {
         let patience = self.config.feed_timeout;
-        let heard = self.heard.is_some_and(|heard| self.now < heard + patience);
-        if !self.is_voter() && self.feed.source.is_none() && !heard {
+        let in_touch = self
+            .leader_seen
+            .is_some_and(|seen| self.now < seen + patience);
+        if !self.is_voter() && self.feed.source.is_none() && !in_touch {
             self.leader = None;
         }
     }
 
     fn expire_subscribers(&mut self) {
-        let ttl = self.config.feed_timeout * SUBSCRIPTION;
+        let ttl = self.config.feed_timeout * SUBSCRIPTION_FEED_TIMEOUTS;
         let now = self.now;
-        self.feed.subscribers.retain(|_, s| now < s.seen + ttl);
+        self.feed.subscribers.retain(|_, s| now < s.last_seen + ttl);
     }
 
-    /// Somebody asks to be fed.
-    pub(super) fn subscribe(&mut self, from: NodeId, last: Index, sent: Now) {
-        let (next, seen) = (last + 1, self.now);
+    /// Handles a node's request to be fed.
+    pub(super) fn on_subscribe(&mut self, from: NodeId, last: Index, sent: Now) {
+        let (next, last_seen) = (last + 1, self.now);
         let old = self.feed.subscribers.remove(&from);
         let transfer = old.and_then(|s| s.transfer).filter(|t| t.index() > last);
         let subscriber = Subscriber {
             next,
             sent,
-            seen,
+            last_seen,
             transfer,
         };
         self.feed.subscribers.insert(from, subscriber);
         self.send_feed(from);
-        self.feed_chunk(from);
+        self.send_feed_chunk(from);
     }
 
-    /// Tells subscribers what has been committed since.
+    /// Sends subscribers what has been committed since their last feed.
     pub(super) fn push_feeds(&mut self) {
         let behind = |s: &&Subscriber| s.next <= self.committed && s.transfer.is_none();
         let subscribers = self.feed.subscribers.iter();
@@ -152,7 +165,7 @@
         }
     }
 
-    /// Sends one feed; whether it brought the subscriber on without reaching the end.
+    /// Sends one feed. Returns whether it brought entries and more are left to send.
     fn send_feed(&mut self, to: NodeId) -> bool {
         let lag = self.lag();
         let committed = self.committed;
@@ -160,7 +173,7 @@
         let Some(subscriber) = self.feed.subscribers.get_mut(&to) else {
             return false;
         };
-        // Behind the log's start this names the voters and brings no entries; a snapshot follows.
+        // Behind the log's start this feed names the voters and has no entries; a snapshot follows.
         let prev = subscriber.next - 1;
         let entries = self.log.batch(subscriber.next, committed, count, bytes);
         if entries.is_empty() && subscriber.next <= committed && subscriber.transfer.is_none() {
@@ -185,7 +198,7 @@
     }
 
     /// Sends the next part of the snapshot to a subscriber that needs one.
-    fn feed_chunk(&mut self, to: NodeId) {
+    fn send_feed_chunk(&mut self, to: NodeId) {
         let (size, now) = (self.config.chunk, self.now);
         let Some(subscriber) = self.feed.subscribers.get_mut(&to) else {
             return;
@@ -193,11 +206,11 @@
         let Some(transfer) = &mut subscriber.transfer else {
             return;
         };
-        let chunk = transfer.chunk(0, size, now);
+        let chunk = transfer.next_chunk(0, size, now);
         self.outbox.send(to, chunk);
     }
 
-    pub(super) fn feed_answered(&mut self, from: NodeId, index: Index, held: u64, sent: Now) {
+    pub(super) fn on_feed_chunk_reply(&mut self, from: NodeId, index: Index, held: u64, sent: Now) {
         let now = self.now;
         let Some(subscriber) = self.feed.subscribers.get_mut(&from) else {
             return;
@@ -205,28 +218,28 @@
         let Some(transfer) = &mut subscriber.transfer else {
             return;
         };
-        match transfer.answered(index, held, sent) {
-            Answer::Stale => {}
-            Answer::More => {
-                subscriber.seen = now;
-                self.feed_chunk(from);
+        match transfer.on_reply(index, held, sent) {
+            ChunkOutcome::Stale => {}
+            ChunkOutcome::More => {
+                subscriber.last_seen = now;
+                self.send_feed_chunk(from);
             }
-            Answer::Done(index) => {
+            ChunkOutcome::Done(index) => {
                 subscriber.transfer = None;
                 subscriber.next = subscriber.next.max(index + 1);
             }
         }
     }
 
-    /// How old this node's knowledge of a leader is. All the time there was, if it has none.
+    /// How long ago this node was last in touch with a leader; the maximum if it never was.
     fn lag(&self) -> Now {
-        self.contact()
+        self.last_contact()
             .map_or(Now::MAX, |contact| self.now.saturating_sub(contact))
     }
 
-    /// Takes a feed. Entries in it are committed, so whoever sent it may be believed, and what
-    /// stands in their place in this log was never committed.
-    pub(super) fn fed(&mut self, from: NodeId, feed: Message) {
+    /// Handles a feed. Its entries are committed, so any sender may be believed, and entries of
+    /// this log that differ from them were never committed.
+    pub(super) fn on_feed(&mut self, from: NodeId, feed: Message) {
         let Message::Feed {
             sent,
             lag,
@@ -243,19 +256,20 @@
             return;
         }
         if lag < self.config.feed_timeout {
-            self.settle_standing(&voters);
+            self.decide_eligibility(&voters);
         }
-        if self.standing == Standing::Unknown {
+        if self.eligibility == Eligibility::Unknown {
             return;
         }
-        self.rank_source(from, sent, lag);
+        self.adopt_source(from, sent, lag);
         self.learn_leader(from, lag, leader);
         self.feed.voters = voters;
-        self.take(prev, entries);
+        self.append_committed(prev, entries);
     }
 
-    /// A follower names the leader that its source does. Others are believed only if they are in
-    /// touch with one: a node that is cut off can't tell, and mustn't be believed over the source.
+    /// Takes the leader that a feed names. A learner believes its source. It believes other nodes
+    /// only if they are in touch with a leader: a node that is cut off can't know, and mustn't be
+    /// believed over the source.
     fn learn_leader(&mut self, from: NodeId, lag: Now, leader: Option<NodeId>) {
         let is_source = self.feed.source == Some(from);
         if !self.is_voter() && (is_source || lag < self.config.feed_timeout) {
@@ -263,28 +277,28 @@
         }
     }
 
-    fn take(&mut self, prev: Index, entries: Vec<Entry>) {
+    fn append_committed(&mut self, prev: Index, entries: Vec<Entry>) {
         if prev > self.committed {
             return;
         }
         let Some(last) = entries.last().map(|e| e.index) else {
             return;
         };
-        self.merge(entries);
+        self.merge_entries(entries);
         self.committed = self.committed.max(last);
     }
 
-    /// A node with an empty disk learns whether its id is a voter's already, from a source that is
-    /// in touch with a leader.
-    fn settle_standing(&mut self, voters: &[NodeId]) {
-        if self.standing != Standing::Unknown || voters.is_empty() {
+    /// Decides whether a node with an empty disk may vote: not if its id already is a voter's, by
+    /// what a node in touch with a leader says.
+    fn decide_eligibility(&mut self, voters: &[NodeId]) {
+        if self.eligibility != Eligibility::Unknown || voters.is_empty() {
             return;
         }
         let barred = voters.contains(&self.config.id);
-        self.set_standing(if barred {
-            Standing::Barred
+        self.set_eligibility(if barred {
+            Eligibility::Ineligible
         } else {
-            Standing::Member
+            Eligibility::Eligible
         });
     }
 }
--- a/src/core/consensus/leader.rs
+++ b/src/core/consensus/leader.rs
@@ -1,61 +1,61 @@
-//! What a leader knows of the others.
+//! The state that only a leader keeps: how far each peer is, and the changes under way.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{
-    seam::{Index, Term},
+    interface::{Index, Term},
     snapshot::Transfer,
 };
 use crate::core::types::{NodeId, Now};
 
-/// How far one node is.
+/// How far the leader has replicated its log to one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Progress {
     /// The next entry to send.
     pub(super) next: Index,
     /// The last entry known to be on its disk and equal to the leader's.
     pub(super) matched: Index,
-    /// The leader's clock when it sent what the node answered last.
-    pub(super) heard: Option<Now>,
-    /// No answer since the last conflict: one message at a time.
+    /// When, by the leader's clock, it had sent the latest message that the node has answered.
+    pub(super) last_acked: Option<Now>,
+    /// Whether it is still unknown up to where the logs match; then only one message is in flight.
     pub(super) probing: bool,
-    /// The last index of each message with entries under way.
+    /// The last index of each message with entries that is in flight.
     pub(super) in_flight: VecDeque<Index>,
-    /// Since when no entry was confirmed although some are under way.
-    pub(super) owing: Option<Now>,
-    /// The snapshot on its way, if the log doesn't reach back far enough.
+    /// Since when no entry was confirmed although some are in flight.
+    pub(super) unconfirmed_since: Option<Now>,
+    /// The snapshot that is being sent, if the log doesn't reach back far enough.
     pub(super) transfer: Option<Transfer>,
 }
 
 impl Progress {
     pub(super) fn new(next: Index) -> Self {
         let in_flight = VecDeque::new();
-        let (heard, owing, transfer) = (None, None, None);
+        let (last_acked, unconfirmed_since, transfer) = (None, None, None);
         Self {
             next,
             matched: 0,
-            heard,
+            last_acked,
             probing: true,
             in_flight,
-            owing,
+            unconfirmed_since,
             transfer,
         }
     }
 
-    /// Whether another message with entries may go.
+    /// Whether another message with entries may be sent.
     pub(super) fn has_room(&self, pipeline: usize) -> bool {
         let limit = if self.probing { 1 } else { pipeline.max(1) };
         self.in_flight.len() < limit
     }
 
-    /// A message with entries up to `last` went.
+    /// Records that a message with entries up to `last` was sent.
     pub(super) fn sent(&mut self, now: Now, last: Index) {
         self.next = last + 1;
         self.in_flight.push_back(last);
-        self.owing.get_or_insert(now);
+        self.unconfirmed_since.get_or_insert(now);
     }
 
-    /// The node has everything up to an index.
+    /// Records that the node has everything up to an index.
     pub(super) fn matched(&mut self, now: Now, index: Index) {
         let moved = index > self.matched;
         self.matched = self.matched.max(index);
@@ -69,22 +69,23 @@
             self.in_flight.pop_front();
         }
         if self.in_flight.is_empty() {
-            self.owing = None;
+            self.unconfirmed_since = None;
         } else if moved {
-            self.owing = Some(now);
+            self.unconfirmed_since = Some(now);
         }
     }
 
-    /// The node's log differs; go back to where it says, not behind what is known to match.
+    /// Records that the node's log differs, and goes back to the index that the node names, but not
+    /// behind what is known to match.
     pub(super) fn conflict(&mut self, hint: Index) {
         self.next = hint.min(self.next).max(self.matched + 1);
         self.probing = true;
         self.in_flight.clear();
-        self.owing = None;
+        self.unconfirmed_since = None;
     }
 
-    pub(super) fn heard(&mut self, sent: Now) {
-        self.heard = self.heard.max(Some(sent));
+    pub(super) fn acked(&mut self, sent: Now) {
+        self.last_acked = self.last_acked.max(Some(sent));
     }
 }
 
@@ -95,15 +96,15 @@
     /// All voters after the change.
     pub(super) voters: Vec<NodeId>,
     pub(super) node: NodeId,
-    /// Since when it is waited for.
+    /// When the leader began to wait for it.
     pub(super) since: Now,
 }
 
-/// Leadership on its way to another voter.
+/// A hand-over of leadership to another voter that is under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct HandOver {
     pub(super) to: NodeId,
-    /// When this leader goes on leading.
+    /// When this leader gives up the hand-over and goes on leading.
     pub(super) until: Now,
 }
 
@@ -114,33 +115,33 @@
     pub(super) term: Term,
     /// When it was elected.
     pub(super) elected: Now,
-    /// Who led before, and when it was last heard.
-    pub(super) former: Option<(NodeId, Now)>,
+    /// The leader before this one, and when its last message arrived.
+    pub(super) predecessor: Option<(NodeId, Now)>,
     /// When the next heartbeat is due.
-    pub(super) beat: Now,
-    /// When it last asked once more, as it had been held up itself.
-    pub(super) excused: Option<Now>,
+    pub(super) heartbeat_due: Now,
+    /// When it last gave a quorum another lease to answer, having been delayed itself.
+    pub(super) grace_start: Option<Now>,
     /// The other voters, and a node that is about to become one.
     pub(super) peers: BTreeMap<NodeId, Progress>,
-    /// The change of voters that waits for its new voter.
+    /// The change of voters that waits until its new voter has caught up.
     pub(super) joining: Option<Joining>,
-    /// The planned change of leader.
-    pub(super) handing: Option<HandOver>,
+    /// The hand-over of leadership that is under way.
+    pub(super) handover: Option<HandOver>,
 }
 
 impl Leader {
-    pub(super) fn new(term: Term, now: Now, former: Option<(NodeId, Now)>) -> Self {
+    pub(super) fn new(term: Term, now: Now, predecessor: Option<(NodeId, Now)>) -> Self {
         let peers = BTreeMap::new();
-        let (joining, handing) = (None, None);
+        let (joining, handover) = (None, None);
         Self {
             term,
             elected: now,
-            former,
-            beat: now,
-            excused: None,
+            predecessor,
+            heartbeat_due: now,
+            grace_start: None,
             peers,
             joining,
-            handing,
+            handover,
         }
     }
 }
--- a/src/core/consensus/membership.rs
+++ b/src/core/consensus/membership.rs
@@ -1,28 +1,29 @@
 //! Changes of voters, one added or removed at a time, and planned hand-over of leadership.
 //!
-//! Any majority before such a change meets any majority after it, so a list of voters counts from
-//! the moment it is appended and no joint phase is needed. That holds only if one change is
+//! Any majority before such a change overlaps any majority after it, so a list of voters takes
+//! effect as soon as it is appended, and no joint phase is needed. That holds only if one change is
 //! committed before the next begins, and only once the leader has committed an entry of its own
-//! term: an older leader's change may still stand in someone's log.
+//! term: a change by an earlier leader may still stand in another node's log.
 
 use super::{
+    interface::{Content, Index, Output, Resignation},
     leader::{HandOver, Joining, Progress},
     message::Message,
     node::{Node, Role},
-    seam::{Content, Index, Output, Resignation},
 };
 use crate::core::types::NodeId;
 
-/// How many of the longest election waits a new voter has to come up to date.
-const JOIN: u32 = 30;
-/// How many of them it may say nothing, or confirm nothing of what it was sent: one that is gone or
-/// whose disk hangs mustn't hold up the change that replaces another.
-const UNCONFIRMED: u32 = 1;
+/// How many of the longest election timeouts a new voter has to catch up.
+const JOIN_ELECTION_TIMEOUTS: u32 = 30;
+/// For how many of the longest election timeouts a new voter may answer nothing, or confirm none of
+/// the entries that it was sent. A node that is gone or whose disk hangs mustn't hold up the change
+/// that replaces another voter.
+const SILENCE_ELECTION_TIMEOUTS: u32 = 1;
 /// How many entries a new voter may lack when it is added.
-const CLOSE: Index = 16;
+const MAX_MISSING_ENTRIES: Index = 16;
 
-/// What a change of voters does.
-enum Change {
+/// The effect of a change of voters.
+enum VoterChange {
     Add(NodeId),
     Remove,
 }
@@ -31,12 +32,12 @@
     pub(super) fn reconfigure(&mut self, proposal: u64, mut voters: Vec<NodeId>) {
         voters.sort_unstable();
         voters.dedup();
-        match self.check_change(&voters) {
+        match self.classify_change(&voters) {
             None => self.reject(proposal),
-            Some(Change::Remove) => self.propose(proposal, Content::Voters(voters)),
-            Some(Change::Add(node)) => {
+            Some(VoterChange::Remove) => self.propose(proposal, Content::Voters(voters)),
+            Some(VoterChange::Add(node)) => {
                 let since = self.now;
-                self.join(Joining {
+                self.start_joining(Joining {
                     proposal,
                     voters,
                     node,
@@ -46,7 +47,7 @@
         }
     }
 
-    fn join(&mut self, joining: Joining) {
+    fn start_joining(&mut self, joining: Joining) {
         let next = self.log.last().index + 1;
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -54,12 +55,13 @@
         let peer = leader.peers.entry(joining.node);
         peer.or_insert_with(|| Progress::new(next));
         leader.joining = Some(joining);
-        // It has all but what was written since it was last fed, and can say so at once.
-        leader.beat = self.now;
+        // The node lacks only what was written since it was last fed. A heartbeat now lets it
+        // confirm that at once.
+        leader.heartbeat_due = self.now;
     }
 
-    /// What a change comes to, unless it can't be made now.
-    fn check_change(&self, voters: &[NodeId]) -> Option<Change> {
+    /// The effect of a change, or `None` if it can't be made now.
+    fn classify_change(&self, voters: &[NodeId]) -> Option<VoterChange> {
         let Role::Leader(leader) = &self.role else {
             return None;
         };
@@ -68,26 +70,26 @@
             .filter(|v| !self.voters().contains(v))
             .collect();
         let removed = self.voters().iter().filter(|v| !voters.contains(v)).count();
-        let busy = leader.joining.is_some() || leader.handing.is_some();
-        let settled = self.log.last_change() <= self.committed && self.has_committed();
+        let busy = leader.joining.is_some() || leader.handover.is_some();
+        let settled = self.log.last_voter_change() <= self.committed && self.has_committed();
         let single = added.len() + removed == 1 && settled && !busy;
-        let allowed = single || !self.config.protections.single_step;
+        let allowed = single || !self.config.protections.single_server;
         if voters.is_empty() || !allowed {
             return None;
         }
         Some(
             added
                 .first()
-                .map_or(Change::Remove, |&&node| Change::Add(node)),
+                .map_or(VoterChange::Remove, |&&node| VoterChange::Add(node)),
         )
     }
 
     /// Whether a change of voters is under way at this leader, so that no other can begin.
-    pub fn is_changing(&self) -> bool {
+    pub fn is_changing_voters(&self) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        leader.joining.is_some() || self.log.last_change() > self.committed
+        leader.joining.is_some() || self.log.last_voter_change() > self.committed
     }
 
     /// Whether this leader has committed an entry of its own term.
@@ -97,15 +99,16 @@
             .is_some_and(|p| p.term == self.term)
     }
 
-    /// Goes on with what a leader has under way besides entries.
-    pub(super) fn tend(&mut self) {
-        self.tend_joining();
-        self.tend_removed();
-        self.tend_handover();
+    /// Advances what a leader has under way besides replication.
+    pub(super) fn advance_changes(&mut self) {
+        self.advance_joining();
+        self.drop_removed();
+        self.advance_handover();
     }
 
-    /// Adds a voter once it is close enough not to hold up the majority that needs it.
-    fn tend_joining(&mut self) {
+    /// Adds a new voter once it has caught up so far that it won't hold up the majority that needs
+    /// it. Rejects the change if that takes too long.
+    fn advance_joining(&mut self) {
         let (now, last) = (self.now, self.log.last().index);
         let wait = self.config.election_max;
         let Role::Leader(leader) = &mut self.role else {
@@ -116,10 +119,17 @@
         };
         let peer = leader.peers.get(&node);
         let matched = peer.map_or(0, |p| p.matched);
-        let close = matched > 0 && matched + CLOSE >= last;
-        let heard = peer.and_then(|p| p.heard).unwrap_or_default().max(since);
-        let confirmed = peer.and_then(|p| p.owing).unwrap_or(now).min(heard);
-        let waits = now < since + wait * JOIN && now < confirmed.max(since) + wait * UNCONFIRMED;
+        let close = matched > 0 && matched + MAX_MISSING_ENTRIES >= last;
+        let acked = peer
+            .and_then(|p| p.last_acked)
+            .unwrap_or_default()
+            .max(since);
+        let confirmed = peer
+            .and_then(|p| p.unconfirmed_since)
+            .unwrap_or(now)
+            .min(acked);
+        let waits = now < since + wait * JOIN_ELECTION_TIMEOUTS
+            && now < confirmed.max(since) + wait * SILENCE_ELECTION_TIMEOUTS;
         if !close && waits {
             return;
         }
@@ -135,10 +145,10 @@
         }
     }
 
-    /// Forgets removed voters once their removal is committed, and gives up leadership if this
-    /// node is one of them.
-    fn tend_removed(&mut self) {
-        if self.log.last_change() > self.committed {
+    /// Drops the progress of removed voters once their removal is committed, and hands leadership
+    /// over if this node is one of them.
+    fn drop_removed(&mut self) {
+        if self.log.last_voter_change() > self.committed {
             return;
         }
         let voters = self.voters().to_vec();
@@ -149,13 +159,14 @@
         leader
             .peers
             .retain(|node, _| voters.contains(node) || joining == Some(*node));
-        if !voters.contains(&self.config.id) && leader.handing.is_none() {
+        if !voters.contains(&self.config.id) && leader.handover.is_none() {
             self.hand_over(None);
         }
     }
 
-    /// Leadership goes to another voter, the most advanced if none is named. No proposal is taken
-    /// from now on; the receiver campaigns as soon as it has all entries.
+    /// Starts to hand leadership over to another voter, the most advanced if none is named. No
+    /// proposal is accepted from now on; the other voter is asked to campaign once it has all
+    /// entries.
     pub(super) fn hand_over(&mut self, to: Option<NodeId>) {
         let until = self.now + self.config.election_min;
         let best = self.most_advanced();
@@ -165,7 +176,7 @@
         };
         let named = to.filter(|v| voters.contains(v) && leader.peers.contains_key(v));
         let to = if to.is_some() { named } else { best };
-        leader.handing = to.map(|to| HandOver { to, until });
+        leader.handover = to.map(|to| HandOver { to, until });
     }
 
     fn most_advanced(&self) -> Option<NodeId> {
@@ -176,7 +187,8 @@
             .peers
             .iter()
             .filter(|(v, _)| self.voters().contains(v));
-        // The first of equals, so that the choice is the same everywhere.
+        // Of equally advanced voters the one with the lowest id, so that the choice is the same
+        // everywhere.
         voters
             .rev()
             .max_by_key(|(_, peer)| peer.matched)
@@ -184,34 +196,35 @@
     }
 
     /// Steps down in favour of the chosen voter once that has all entries. A leader that asked
-    /// another to campaign never leads in this term again, so its lease needs no recall.
-    fn tend_handover(&mut self) {
+    /// another node to campaign never leads in this term again, so its lease needs no further
+    /// revocation.
+    fn advance_handover(&mut self) {
         let (now, last, term) = (self.now, self.log.last().index, self.term);
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(HandOver { to, until }) = leader.handing else {
+        let Some(HandOver { to, until }) = leader.handover else {
             return;
         };
         let matched = leader.peers.get(&to).map_or(0, |p| p.matched);
         if matched == last {
-            leader.handing = None;
+            leader.handover = None;
             self.outbox.send(to, Message::HandOver { term });
-            if self.config.protections.recall {
+            if self.config.protections.release_lease {
                 self.resign(Resignation::HandedOver);
             }
         } else if now >= until {
-            leader.handing = None;
+            leader.handover = None;
         }
     }
 
     pub(super) fn reject(&mut self, proposal: u64) {
-        let leader = self.leader.filter(|_| !self.is_handing());
+        let leader = self.leader.filter(|_| !self.is_handing_over());
         self.outbox.push(Output::Rejected { proposal, leader });
     }
 
-    /// Whether this leader takes no proposals because another is to lead.
-    pub fn is_handing(&self) -> bool {
-        matches!(&self.role, Role::Leader(leader) if leader.handing.is_some())
+    /// Whether this leader accepts no proposals because it is handing leadership over.
+    pub fn is_handing_over(&self) -> bool {
+        matches!(&self.role, Role::Leader(leader) if leader.handover.is_some())
     }
 }
--- a/src/core/consensus/node.rs
+++ b/src/core/consensus/node.rs
@@ -1,4 +1,4 @@
-//! One node: its state, its inputs, and what others may ask it.
+//! One node: its state, and the handling of each input by the modules beside this one.
 
 use std::collections::BTreeSet;
 
@@ -7,123 +7,126 @@
 use super::{
     config::Config,
     feed::Feed,
+    interface::{Content, Entry, Index, Input, Output, Record, Resignation, Term},
     leader::{Leader, quorum},
     log::Log,
     message::Message,
     outbox::Outbox,
     restored::Restored,
-    seam::{Content, Entry, Index, Input, Output, Record, Resignation, Term},
-    snapshot::{Incoming, Part},
+    snapshot::{Chunk, IncomingSnapshot},
 };
 use crate::core::types::{NodeId, Now};
 
 /// Whether a node may vote under its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
-    /// The disk was empty and no node has said yet whether the id is a voter already.
+pub enum Eligibility {
+    /// The disk was empty, and no node has told this one yet whether its id already is a voter's.
     Unknown,
-    /// It may vote when the voters' list names it.
-    Member,
-    /// It has no disk, or lost what it promised under this id. It follows and never votes.
-    Barred,
+    /// It may vote while the list of voters contains its id.
+    Eligible,
+    /// It has no disk, or lost the term and votes that it recorded under this id. It receives
+    /// entries and never votes.
+    Ineligible,
 }
 
-/// What a node does now.
+/// The role of a node in the current term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Role {
-    /// Follows a leader or waits for one.
+    /// Follows a leader or waits for one. Learners always have this role.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the other voters whether they would vote for it.
     PreCandidate { granted: BTreeSet<NodeId> },
-    /// Asks to be elected. Its own vote counts once `write` is on disk.
+    /// Asks the other voters to vote for it. Its own vote counts once `write` is on disk.
     Candidate {
         granted: BTreeSet<NodeId>,
         write: u64,
     },
-    /// Leads.
+    /// Leads the term.
     Leader(Leader),
 }
 
-/// A time without steps, longer than a leader's lease.
+/// A pause of the process: a time without steps at least as long as a leader's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Frozen {
-    /// When a leader was heard before it.
-    pub(super) heard: Option<Now>,
-    /// Until when messages from before it may still come in.
+pub(super) struct Pause {
+    /// When this node was last in contact with a leader before the pause.
+    pub(super) leader_seen: Option<Now>,
+    /// Until when messages from before the pause may still arrive.
     pub(super) until: Now,
 }
 
-/// One voter or follower.
+/// A node of the cluster, voter or learner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     pub(super) config: Config,
     pub(super) now: Now,
-    pub(super) standing: Standing,
+    pub(super) eligibility: Eligibility,
     pub(super) term: Term,
     pub(super) vote: Option<NodeId>,
     pub(super) role: Role,
+    /// The current leader, as far as this node knows.
     pub(super) leader: Option<NodeId>,
-    /// The leader that was last heard, which may be long ago.
-    pub(super) former: Option<NodeId>,
-    /// Whether this node is about to end, so that it must not begin to lead.
+    /// The leader whose message arrived last, possibly long ago.
+    pub(super) last_leader: Option<NodeId>,
+    /// Whether this node is about to stop, so that it must not become leader.
     pub(super) retiring: bool,
     pub(super) log: Log,
     pub(super) committed: Index,
     pub(super) applied: Index,
-    /// When a leader was last heard. A restart counts, for a promise may stand from before it.
-    pub(super) heard: Option<Now>,
-    /// When a leader was last heard before this process was frozen, and until when what is heard
-    /// may have been waiting since then.
-    pub(super) frozen: Option<Frozen>,
+    /// When a leader's message last arrived. A restart counts as one, because a promise to a leader
+    /// from before it may still be in force.
+    pub(super) leader_seen: Option<Now>,
+    /// The last pause of this process, after which messages may arrive that were sent before it.
+    pub(super) pause: Option<Pause>,
     /// When the next campaign is due.
-    pub(super) deadline: Now,
+    pub(super) election_deadline: Now,
     pub(super) outbox: Outbox,
     pub(super) feed: Feed,
     /// The snapshot that is being received.
-    pub(super) incoming: Option<Incoming>,
+    pub(super) incoming: Option<IncomingSnapshot>,
 }
 
 impl Node {
-    /// A node as its disk left it. What it has to say at once comes with the first step.
+    /// Restores a node from what is on its disk. Its first outputs are returned by the first step.
     pub fn new(now: Now, mut config: Config, restored: Restored) -> Self {
-        // A lease as long as a voter's promise would leave nothing for clocks that drift apart.
+        // A lease as long as a voter's promise would leave no margin for clocks that drift apart.
         config.lease = config.lease.min(config.election_min * 9 / 10);
         let outbox = Outbox::new(now, config.disk, config.protections.sync);
-        let blank = restored.is_empty();
-        let unborn = restored.is_unborn();
+        let is_empty = restored.is_empty();
+        let is_uninitialized = restored.is_uninitialized();
         let snapshot = restored.snapshot.unwrap_or_default();
         let base = snapshot.last.index;
         let mut node = Self {
             now,
-            standing: standing(&config, restored.voting),
+            eligibility: eligibility(&config, restored.voting),
             term: restored.term,
             vote: restored.vote,
             role: Role::Follower,
             leader: None,
-            former: None,
+            last_leader: None,
             retiring: false,
             log: Log::new(snapshot, restored.entries),
             committed: base,
             applied: base,
-            heard: (!blank).then_some(now),
-            frozen: None,
-            deadline: now,
+            leader_seen: (!is_empty).then_some(now),
+            pause: None,
+            election_deadline: now,
             outbox,
             feed: Feed::new(now),
             incoming: None,
             config,
         };
         node.restore();
-        if unborn {
+        if is_uninitialized {
             node.bootstrap();
         }
-        node.postpone();
+        node.reset_election_deadline();
         node
     }
 
-    /// Takes one input at a time that never goes back, and tells what to do, in order.
+    /// Handles one input and returns what to do, in order. Times must not decrease from one call to
+    /// the next.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Output> {
-        self.notice_freeze(now);
+        self.detect_pause(now);
         self.now = self.now.max(now);
         self.outbox.now = self.now;
         match input {
@@ -135,25 +138,26 @@
             Input::Reconfigure { proposal, voters } => self.reconfigure(proposal, voters),
             Input::HandOver { to } => self.hand_over(to),
             Input::Retire => self.retiring = true,
-            Input::Nodes(places) => self.config.places = places,
+            Input::Nodes(locations) => self.config.locations = locations,
             Input::Synced { write } => self.synced(write),
-            Input::Compact { index, image } => self.compact(index, image),
+            Input::Compact { index, snapshot } => self.compact(index, snapshot),
         }
-        self.settle();
+        self.advance();
         self.outbox.drain()
     }
 
-    /// A process that wakes finds old messages in its sockets, which say nothing about now.
-    fn notice_freeze(&mut self, now: Now) {
+    /// Detects a pause of the process. After one, its sockets hold old messages, which say nothing
+    /// about the present.
+    fn detect_pause(&mut self, now: Now) {
         if now < self.now + self.config.lease {
             return;
         }
-        let heard = self.contact().filter(|_| !self.is_leader());
+        let leader_seen = self.last_contact().filter(|_| !self.is_leader());
         let until = now + self.config.feed_timeout;
-        self.frozen = Some(Frozen { heard, until });
+        self.pause = Some(Pause { leader_seen, until });
     }
 
-    /// Begins a new cluster. The first entry is the same on all its voters, so that whoever is
+    /// Starts a new cluster. The first entry is the same on all its voters, so that a node that is
     /// fed from the log's start learns the voters from it.
     fn bootstrap(&mut self) {
         let Some(voters) = self.config.bootstrap.clone() else {
@@ -162,7 +166,7 @@
         if !self.config.disk {
             return;
         }
-        self.set_standing(Standing::Member);
+        self.set_eligibility(Eligibility::Eligible);
         let content = Content::Voters(voters);
         self.log.push(Entry {
             term: 0,
@@ -172,11 +176,11 @@
         self.flush();
     }
 
-    pub(super) fn set_standing(&mut self, standing: Standing) {
-        self.standing = standing;
-        let voting = standing == Standing::Member;
+    pub(super) fn set_eligibility(&mut self, eligibility: Eligibility) {
+        self.eligibility = eligibility;
+        let voting = eligibility == Eligibility::Eligible;
         self.outbox
-            .write(Record::Standing { voting }, self.log.written());
+            .write(Record::Eligibility { voting }, self.log.written());
     }
 
     /// Hands the snapshot that the log starts with to the state machine.
@@ -186,46 +190,46 @@
             return;
         }
         let index = snapshot.last.index;
-        let image = snapshot.image.clone();
-        self.outbox.push(Output::Restore { index, image });
+        let snapshot = snapshot.data.clone();
+        self.outbox.push(Output::Restore { index, snapshot });
     }
 
     fn tick(&mut self) {
         match self.role {
             Role::Leader(_) => self.tick_leader(),
-            _ if self.may_campaign() && self.now >= self.deadline => self.campaign(),
+            _ if self.may_campaign() && self.now >= self.election_deadline => self.campaign(),
             _ => {}
         }
         self.tick_feed();
     }
 
     fn may_campaign(&self) -> bool {
-        self.is_voter() && !self.is_stalled() && !self.retiring
+        self.is_voter() && !self.is_disk_stalled() && !self.retiring
     }
 
-    /// Whether the disk has not answered for longer than an election takes. Such a node would hold
-    /// up every change if it led.
-    pub(super) fn is_stalled(&self) -> bool {
-        let oldest = self.outbox.oldest();
-        oldest.is_some_and(|since| self.now >= since + self.config.election_max)
+    /// Whether a write has waited for the disk for the longest election timeout or more. Such a
+    /// node would hold up every change if it led.
+    pub(super) fn is_disk_stalled(&self) -> bool {
+        let oldest_write = self.outbox.oldest_write();
+        oldest_write.is_some_and(|since| self.now >= since + self.config.election_max)
     }
 
     fn receive(&mut self, from: NodeId, message: Message) {
         match message {
-            Message::PreVote { term, last } => self.pre_vote(from, term, last),
+            Message::PreVote { term, last } => self.on_pre_vote(from, term, last),
             Message::PreVoteReply {
                 term,
                 current,
                 granted,
             } => {
-                self.pre_vote_reply(from, term, current, granted);
+                self.on_pre_vote_reply(from, term, current, granted);
             }
             Message::Vote {
                 term,
                 last,
                 handover,
-            } => self.vote(from, term, last, handover),
-            Message::VoteReply { term, granted } => self.vote_reply(from, term, granted),
+            } => self.on_vote(from, term, last, handover),
+            Message::VoteReply { term, granted } => self.on_vote_reply(from, term, granted),
             Message::Append {
                 term,
                 prev,
@@ -234,19 +238,19 @@
                 sent,
             } => {
                 if self.accept_leader(from, term, sent) {
-                    self.append(from, prev, entries, committed, sent);
+                    self.on_append(from, prev, entries, committed, sent);
                 }
             }
             Message::AppendReply {
                 term,
                 sent,
-                verdict,
+                outcome,
             } => {
-                self.append_reply(from, term, sent, verdict);
+                self.on_append_reply(from, term, sent, outcome);
             }
-            Message::HandOver { term } => self.take_over(from, term),
-            Message::Subscribe { last, sent } => self.subscribe(from, last, sent),
-            Message::Feed { .. } => self.fed(from, message),
+            Message::HandOver { term } => self.on_hand_over(from, term),
+            Message::Subscribe { last, sent } => self.on_subscribe(from, last, sent),
+            Message::Feed { .. } => self.on_feed(from, message),
             Message::Chunk {
                 term,
                 last,
@@ -256,9 +260,9 @@
                 part,
                 sent,
             } => {
-                self.chunk(
+                self.on_chunk(
                     from,
-                    Part {
+                    Chunk {
                         term,
                         last,
                         voters,
@@ -269,7 +273,7 @@
                     },
                 );
             }
-            Message::ChunkReply { .. } => self.chunk_reply(from, &message),
+            Message::ChunkReply { .. } => self.on_chunk_reply(from, &message),
         }
     }
 
@@ -279,12 +283,12 @@
         self.count_own_vote();
     }
 
-    /// What every input may have made possible.
-    fn settle(&mut self) {
+    /// Does whatever an input may have made possible: replicate, commit, apply and feed.
+    fn advance(&mut self) {
         if self.is_leader() {
             self.replicate();
-            self.commit();
-            self.tend();
+            self.advance_commit();
+            self.advance_changes();
         } else {
             self.flush();
         }
@@ -297,7 +301,7 @@
         if self.log.is_written() {
             return;
         }
-        let entries = self.log.unwritten();
+        let entries = self.log.take_unwritten();
         self.outbox
             .write(Record::Append(entries), self.log.written());
         if self.outbox.is_instant() {
@@ -315,18 +319,19 @@
         }
     }
 
-    /// Draws when the next campaign is due. A range of one value draws nothing.
-    pub(super) fn postpone(&mut self) {
+    /// Draws the time of the next campaign. From a range of one value nothing is drawn.
+    pub(super) fn reset_election_deadline(&mut self) {
         let (min, max) = (self.config.election_min, self.config.election_max);
         let wait = if min < max {
             self.config.rng.random_range(min..max)
         } else {
             min
         };
-        self.deadline = self.now + wait;
+        self.election_deadline = self.now + wait;
     }
 
-    /// Takes a term, forgetting the vote of the one before.
+    /// Enters a term with a vote, which replaces the vote of the term before, and returns the
+    /// number of the write that records both.
     pub(super) fn set_term(&mut self, term: Term, vote: Option<NodeId>) -> u64 {
         self.term = term;
         self.vote = vote;
@@ -337,7 +342,7 @@
             .write(Record::Ballot { term, vote }, self.log.written())
     }
 
-    /// Follows in a term, whoever leads it.
+    /// Becomes a follower in a term, whoever leads it.
     pub(super) fn step_down(&mut self, term: Term) {
         if term > self.term {
             self.set_term(term, None);
@@ -347,7 +352,8 @@
         self.leader = None;
     }
 
-    /// Leads no more, if it did, and follows in the same term or in one that it has just taken.
+    /// Steps down, if this node leads, and becomes a follower in the current term: the one it led,
+    /// or one that it has just entered.
     pub(super) fn resign(&mut self, why: Resignation) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -355,7 +361,7 @@
         let term = leader.term;
         let waiting = leader.joining.as_ref().map(|j| j.proposal);
         self.leader = None;
-        self.postpone();
+        self.reset_election_deadline();
         waiting
             .into_iter()
             .for_each(|proposal| self.reject(proposal));
@@ -364,7 +370,7 @@
     }
 
     /// The other voters.
-    pub(super) fn others(&self) -> Vec<NodeId> {
+    pub(super) fn other_voters(&self) -> Vec<NodeId> {
         let voters = self.voters().iter().copied();
         voters.filter(|&v| v != self.config.id).collect()
     }
@@ -375,25 +381,25 @@
         count > voters.len() / 2
     }
 
-    /// When the leader sent what a quorum has answered.
-    pub(super) fn quorum_heard(&self) -> Option<Now> {
+    /// The latest time at which the leader had sent a quorum what it has since answered.
+    pub(super) fn quorum_acked(&self) -> Option<Now> {
         let Role::Leader(leader) = &self.role else {
             return None;
         };
-        let heard = self.voters().iter().map(|v| match leader.peers.get(v) {
-            Some(peer) => peer.heard,
+        let acked = self.voters().iter().map(|v| match leader.peers.get(v) {
+            Some(peer) => peer.last_acked,
             None => Some(self.now),
         });
-        quorum(heard.collect())
+        quorum(acked.collect())
     }
 }
 
-fn standing(config: &Config, voting: Option<bool>) -> Standing {
+fn eligibility(config: &Config, voting: Option<bool>) -> Eligibility {
     match voting {
-        _ if !config.disk => Standing::Barred,
-        Some(true) => Standing::Member,
-        Some(false) => Standing::Barred,
-        None if config.protections.standing => Standing::Unknown,
-        None => Standing::Member,
+        _ if !config.disk => Eligibility::Ineligible,
+        Some(true) => Eligibility::Eligible,
+        Some(false) => Eligibility::Ineligible,
+        None if config.protections.eligibility => Eligibility::Unknown,
+        None => Eligibility::Eligible,
     }
 }
--- a/src/core/consensus/replication.rs
+++ b/src/core/consensus/replication.rs
@@ -1,39 +1,44 @@
-//! Replication: the leader's entries reach the others, and are committed.
+//! Replication: the leader's entries reach the other voters' logs, and are committed.
+//!
+//! A leader sends each peer the entries that follow what the peer is believed to hold, and commits
+//! an entry of its own term once a majority of the voters has it on disk. A peer accepts entries
+//! only if its log contains the position before them; it truncates its log where that differs. A
+//! leader never overwrites entries of its own log.
 
 use super::{
+    interface::{Content, Entry, Index, Output, Payload, Record, Resignation, Term},
     leader::{Progress, quorum},
-    message::{Message, Position, Verdict},
-    node::{Node, Role, Standing},
+    message::{AppendOutcome, Message, Position},
+    node::{Eligibility, Node, Role},
     restored::Snapshot,
-    seam::{Content, Entry, Index, Output, Payload, Record, Resignation, Term},
     snapshot::Transfer,
 };
 use crate::core::types::{NodeId, Now};
 
-/// How many writes of a leader may be under way before new entries wait and go together.
-const WRITES: usize = 2;
+/// How many writes of a leader may be pending before new entries wait to be written together.
+const MAX_PENDING_WRITES: usize = 2;
 
 impl Node {
     pub(super) fn propose(&mut self, proposal: u64, content: Content) {
-        if !self.is_leader() || self.is_handing() || self.is_full() {
+        if !self.is_leader() || self.is_handing_over() || self.is_backlog_full() {
             self.reject(proposal);
             return;
         }
-        let Position { term, index } = self.push(content);
-        self.outbox.push(Output::Placed {
+        let Position { term, index } = self.append_own(content);
+        self.outbox.push(Output::Appended {
             proposal,
             term,
             index,
         });
     }
 
-    /// Whether too many entries wait to be committed for more to be taken.
-    fn is_full(&self) -> bool {
+    /// Whether so many entries wait to be committed that no more are accepted.
+    fn is_backlog_full(&self) -> bool {
         self.log.last().index - self.committed >= self.config.backlog
     }
 
-    /// Appends to the leader's own log.
-    pub(super) fn push(&mut self, content: Content) -> Position {
+    /// Appends an entry to the leader's own log.
+    pub(super) fn append_own(&mut self, content: Content) -> Position {
         let index = self.log.last().index + 1;
         self.log.push(Entry {
             term: self.term,
@@ -43,12 +48,13 @@
         self.log.last()
     }
 
-    /// Heartbeats, and steps down when no quorum answers any more or the disk doesn't.
+    /// Sends heartbeats, and steps down when no quorum answers any more or the disk has stalled.
     pub(super) fn tick_leader(&mut self) {
-        let unheard = self.config.protections.lease && self.is_unheard() && !self.excuse();
-        if unheard || self.is_stalled() {
-            self.resign(if unheard {
-                Resignation::Unheard
+        let quorum_lost =
+            self.config.protections.lease && self.has_lost_quorum() && !self.grant_grace();
+        if quorum_lost || self.is_disk_stalled() {
+            self.resign(if quorum_lost {
+                Resignation::NoQuorum
             } else {
                 Resignation::Stalled
             });
@@ -59,15 +65,16 @@
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if now < leader.beat {
+        if now < leader.heartbeat_due {
             return;
         }
-        leader.beat = now + heartbeat;
-        self.beat();
+        leader.heartbeat_due = now + heartbeat;
+        self.send_heartbeats();
     }
 
-    /// Sends every peer something to answer, which also tells it what is committed.
-    fn beat(&mut self) {
+    /// Sends every peer a message to answer; unless it is a chunk of a snapshot, it also carries
+    /// the committed index.
+    fn send_heartbeats(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
@@ -79,37 +86,37 @@
         }
     }
 
-    fn is_unheard(&self) -> bool {
+    fn has_lost_quorum(&self) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let heard = self.quorum_heard().max(leader.excused);
-        let heard = heard.unwrap_or_default().max(leader.elected);
-        self.now >= heard + self.config.lease
+        let acked = self.quorum_acked().max(leader.grace_start);
+        let acked = acked.unwrap_or_default().max(leader.elected);
+        self.now >= acked + self.config.lease
     }
 
-    /// Whether a leader that no quorum answered may ask once more. If its last heartbeat is long
-    /// overdue it was held up itself, so silence says nothing about the others, who may still wait
-    /// for it: stepping down would cost an election for nothing. Its lease isn't longer for it, and
-    /// it is excused once between two answers of a quorum.
-    fn excuse(&mut self) -> bool {
+    /// Whether a leader that no quorum answered may wait for answers once more. If its own
+    /// heartbeat is overdue by a whole interval, it was delayed itself, so the silence says nothing
+    /// about the others, which may still wait for it. Stepping down would cost a needless election.
+    /// This doesn't extend its lease, and it happens once between two answers of a quorum.
+    fn grant_grace(&mut self) -> bool {
         let (now, heartbeat) = (self.now, self.config.heartbeat);
-        let heard = self.quorum_heard();
+        let acked = self.quorum_acked();
         let Role::Leader(leader) = &mut self.role else {
             return false;
         };
-        let held_up = now >= leader.beat + heartbeat;
-        let answered = leader.excused.is_none() || heard > leader.excused;
-        if held_up && answered {
-            leader.excused = Some(now);
+        let delayed = now >= leader.heartbeat_due + heartbeat;
+        let answered = leader.grace_start.is_none() || acked > leader.grace_start;
+        if delayed && answered {
+            leader.grace_start = Some(now);
         }
-        held_up && answered
+        delayed && answered
     }
 
-    /// Hands new entries to the disk and the others. While writes are under way new entries
-    /// gather, so that under load many share one write and one message.
+    /// Hands new entries to the disk and to the peers. While writes are pending, new entries
+    /// accumulate, so that under load many share one write and one message.
     pub(super) fn replicate(&mut self) {
-        if self.outbox.pending() < WRITES {
+        if self.outbox.pending() < MAX_PENDING_WRITES {
             self.flush();
         }
         let Role::Leader(leader) = &self.role else {
@@ -121,7 +128,8 @@
         }
     }
 
-    /// Sends the next entries to a node if it lacks any and has room; whether it may take more.
+    /// Sends the next entries to a node if it lacks any and has room. Returns whether it may take
+    /// more.
     fn send_next(&mut self, to: NodeId) -> bool {
         let (written, base) = (self.log.written(), self.log.base());
         let pipeline = self.config.pipeline;
@@ -161,7 +169,8 @@
         true
     }
 
-    /// Sends entries, or none as a heartbeat, after what the node should have by now.
+    /// Sends entries, or none as a heartbeat, to follow the last entry that the node should have by
+    /// now.
     fn send_append(&mut self, to: NodeId, entries: Vec<Entry>) {
         let Some(next) = self.peer(to).map(|p| p.next) else {
             return;
@@ -182,7 +191,7 @@
         );
     }
 
-    /// Sends the next part of the snapshot to a node that needs one.
+    /// Sends the next chunk of the snapshot to a node that needs one. Returns whether it does.
     fn send_chunk(&mut self, to: NodeId) -> bool {
         let (term, size, now) = (self.term, self.config.chunk, self.now);
         let Some(peer) = self.peer(to) else {
@@ -191,7 +200,7 @@
         let Some(transfer) = &mut peer.transfer else {
             return false;
         };
-        let chunk = transfer.chunk(term, size, now);
+        let chunk = transfer.next_chunk(term, size, now);
         self.outbox.send(to, chunk);
         true
     }
@@ -203,10 +212,10 @@
         leader.peers.get_mut(&id)
     }
 
-    /// Commits what a majority has on disk, if the last of it is of this leader's term. An older
-    /// entry on a majority can still be overwritten by a leader that lacks it; once one of this
-    /// term is committed after it, such a leader can't be elected any more.
-    pub(super) fn commit(&mut self) {
+    /// Commits what a majority has on disk, if the last of these entries is of this leader's term.
+    /// An older entry on a majority can still be overwritten by a leader that lacks it. Once an
+    /// entry of this term is committed after it, such a leader can't be elected any more.
+    pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
@@ -220,31 +229,31 @@
         let counts = term == Some(self.term) || !self.config.protections.own_term;
         if index > self.committed && counts {
             self.committed = index;
-            // The others apply it now, not at the next heartbeat.
-            self.beat();
+            // Lets the others apply the entries now instead of at the next heartbeat.
+            self.send_heartbeats();
         }
     }
 
-    /// Whether to take what a leader sent; follows it if so.
+    /// Whether to accept a leader's message. If so, this node follows that leader from now on.
     pub(super) fn accept_leader(&mut self, from: NodeId, term: Term, sent: Now) -> bool {
-        if self.standing != Standing::Member {
+        if self.eligibility != Eligibility::Eligible {
             return false;
         }
         if term < self.term {
-            let reply = self.reply(sent, Verdict::Conflict(self.log.last().index + 1));
+            let reply = self.reply(sent, AppendOutcome::Conflict(self.log.last().index + 1));
             self.outbox.send_synced(from, reply);
             return false;
         }
         self.step_down(term);
         self.leader = Some(from);
-        self.former = Some(from);
-        self.heard = Some(self.now);
-        self.postpone();
+        self.last_leader = Some(from);
+        self.leader_seen = Some(self.now);
+        self.reset_election_deadline();
         true
     }
 
-    /// Takes a leader's entries, or its heartbeat.
-    pub(super) fn append(
+    /// Handles a leader's entries, or its heartbeat.
+    pub(super) fn on_append(
         &mut self,
         from: NodeId,
         prev: Position,
@@ -253,42 +262,44 @@
         sent: Now,
     ) {
         let heartbeat = entries.is_empty();
-        if !self.follows(prev) {
-            let reply = self.reply(sent, Verdict::Conflict(self.hint(prev)));
+        if !self.contains(prev) {
+            let reply = self.reply(sent, AppendOutcome::Conflict(self.conflict_hint(prev)));
             self.outbox.send_synced(from, reply);
             return;
         }
         let last = prev.index + entries.len() as Index;
-        self.merge(entries);
+        self.merge_entries(entries);
         self.committed = self.committed.max(committed.min(last));
         if heartbeat && self.outbox.is_ballot_synced() {
-            // The lease needs no disk, so a slow one doesn't cost the leader its quorum.
-            let reply = self.reply(sent, Verdict::Matched(last.min(self.log.durable())));
+            // The lease needs no entries on disk, so a slow disk doesn't cost the leader its
+            // quorum.
+            let reply = self.reply(sent, AppendOutcome::Matched(last.min(self.log.durable())));
             self.outbox.send(from, reply);
             return;
         }
         self.flush();
-        let reply = self.reply(sent, Verdict::Matched(last));
+        let reply = self.reply(sent, AppendOutcome::Matched(last));
         self.outbox.send_synced(from, reply);
     }
 
     /// The answer, in this node's term, to what a leader sent at `sent`.
-    fn reply(&self, sent: Now, verdict: Verdict) -> Message {
+    fn reply(&self, sent: Now, outcome: AppendOutcome) -> Message {
         Message::AppendReply {
             term: self.term,
             sent,
-            verdict,
+            outcome,
         }
     }
 
-    /// Whether this log holds a position. What the snapshot holds was committed, so it does.
-    fn follows(&self, prev: Position) -> bool {
+    /// Whether this log contains a position. All that the snapshot covers was committed, so it
+    /// contains that.
+    fn contains(&self, prev: Position) -> bool {
         prev.index < self.log.base() || self.log.position(prev.index) == Some(prev)
     }
 
-    /// Where the leader should try next: the log's end, or the start of the term that differs, so
-    /// that a whole term is skipped in one round trip.
-    fn hint(&self, prev: Position) -> Index {
+    /// Where the leader should try next: after the log's end, or at the start of the term that
+    /// differs, so that a whole term is skipped in one round trip.
+    fn conflict_hint(&self, prev: Position) -> Index {
         let last = self.log.last().index;
         if prev.index > last {
             return last + 1;
@@ -296,14 +307,14 @@
         self.log.first_of_term(prev.index).max(self.committed + 1)
     }
 
-    /// Adds entries, cutting the log where it differs.
-    pub(super) fn merge(&mut self, entries: Vec<Entry>) {
+    /// Adds entries, truncating the log where it differs from them.
+    pub(super) fn merge_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
-            let here = self.log.position(entry.index).map(|p| p.term);
-            if entry.index <= self.log.base() || here == Some(entry.term) {
+            let existing = self.log.position(entry.index).map(|p| p.term);
+            if entry.index <= self.log.base() || existing == Some(entry.term) {
                 continue;
             }
-            if here.is_some() {
+            if existing.is_some() {
                 self.log.truncate(entry.index);
                 self.outbox.truncated(entry.index);
             }
@@ -311,9 +322,14 @@
         }
     }
 
-    /// The follower whose answer to what was sent at `sent` counts, if this node still leads the
-    /// term that it answers for. A later term ends this node's own.
-    pub(super) fn hear(&mut self, from: NodeId, term: Term, sent: Now) -> Option<&mut Progress> {
+    /// Records a node's answer to what was sent at `sent`, and returns the node's progress, if this
+    /// node still leads the term of the answer. A later term makes this node step down.
+    pub(super) fn record_answer(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        sent: Now,
+    ) -> Option<&mut Progress> {
         if term > self.term {
             self.step_down(term);
             return None;
@@ -322,24 +338,30 @@
             return None;
         }
         let peer = self.peer(from)?;
-        peer.heard(sent);
+        peer.acked(sent);
         Some(peer)
     }
 
-    /// Takes a follower's answer.
-    pub(super) fn append_reply(&mut self, from: NodeId, term: Term, sent: Now, verdict: Verdict) {
+    /// Handles a node's answer to entries or a heartbeat.
+    pub(super) fn on_append_reply(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        sent: Now,
+        outcome: AppendOutcome,
+    ) {
         let now = self.now;
-        let Some(peer) = self.hear(from, term, sent) else {
+        let Some(peer) = self.record_answer(from, term, sent) else {
             return;
         };
-        match verdict {
-            Verdict::Matched(index) => peer.matched(now, index),
-            Verdict::Conflict(hint) => peer.conflict(hint),
+        match outcome {
+            AppendOutcome::Matched(index) => peer.matched(now, index),
+            AppendOutcome::Conflict(hint) => peer.conflict(hint),
         }
     }
 
-    /// Takes the state machine's image as the log's start.
-    pub(super) fn compact(&mut self, index: Index, image: Payload) {
+    /// Makes the state machine's snapshot the log's start.
+    pub(super) fn compact(&mut self, index: Index, data: Payload) {
         if index <= self.log.base() || index > self.applied {
             return;
         }
@@ -347,24 +369,20 @@
             return;
         };
         let voters = self.log.voters_at(index).to_vec();
-        self.install(Snapshot {
-            last,
-            voters,
-            image,
-        });
+        self.install_snapshot(Snapshot { last, voters, data });
     }
 
-    /// Makes a snapshot the log's start, here and on disk.
-    pub(super) fn install(&mut self, snapshot: Snapshot) {
+    /// Makes a snapshot the log's start, in memory and on disk.
+    pub(super) fn install_snapshot(&mut self, snapshot: Snapshot) {
         let Position { term, index } = snapshot.last;
-        let (voters, image) = (snapshot.voters.clone(), snapshot.image.clone());
+        let (voters, data) = (snapshot.voters.clone(), snapshot.data.clone());
         self.log.compact(snapshot);
         self.outbox.write(
             Record::Snapshot {
                 index,
                 term,
                 voters,
-                image,
+                data,
             },
             index,
         );
--- a/src/core/consensus/restored.rs
+++ b/src/core/consensus/restored.rs
@@ -1,39 +1,39 @@
-//! What a node finds on its disk.
+//! The state that a node restores from its disk.
 
 use super::{
+    interface::{Entry, Payload, Record, Term},
     message::Position,
-    seam::{Entry, Payload, Record, Term},
 };
 use crate::core::types::NodeId;
 
-/// The state machine's image and the log's start.
+/// A snapshot of the state machine, with which the log starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Snapshot {
     /// The last entry that it includes.
     pub last: Position,
     /// The voters as of that entry.
     pub voters: Vec<NodeId>,
-    /// The state machine's image.
-    pub image: Payload,
+    /// The state machine's snapshot.
+    pub data: Payload,
 }
 
-/// The sum of the records on a disk, in the order they were written.
+/// The combined effect of the records on a disk, in the order in which they were written.
 ///
 /// ```
 /// use egretpin::core::consensus::{Record, Restored};
 ///
-/// let records = [Record::Standing { voting: true }, Record::Ballot { term: 3, vote: Some(1) }];
+/// let records = [Record::Eligibility { voting: true }, Record::Ballot { term: 3, vote: Some(1) }];
 /// let restored = Restored::replay(records);
 /// assert_eq!(restored.term, 3);
 /// assert!(!restored.is_empty());
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Restored {
-    /// Whether this disk may vote; nothing on an empty one.
+    /// Whether this disk may vote; `None` on an empty one.
     pub voting: Option<bool>,
     /// The current term.
     pub term: Term,
-    /// Whom this node voted for in it.
+    /// The node that this node voted for in it.
     pub vote: Option<NodeId>,
     /// The last snapshot, if any.
     pub snapshot: Option<Snapshot>,
@@ -54,7 +54,7 @@
     /// Replays one more record.
     pub fn push(&mut self, record: Record) {
         match record {
-            Record::Standing { voting } => self.voting = Some(voting),
+            Record::Eligibility { voting } => self.voting = Some(voting),
             Record::Ballot { term, vote } => {
                 self.term = term;
                 self.vote = vote;
@@ -64,19 +64,15 @@
                 index,
                 term,
                 voters,
-                image,
+                data,
             } => {
                 let last = Position { term, index };
-                self.cut(Snapshot {
-                    last,
-                    voters,
-                    image,
-                });
+                self.install_snapshot(Snapshot { last, voters, data });
             }
         }
     }
 
-    /// The fewest records that replay to the same, for a disk that drops old ones.
+    /// The fewest records that replay to the same state, for a disk that drops old ones.
     ///
     /// ```
     /// use egretpin::core::consensus::{Record, Restored};
@@ -88,29 +84,29 @@
     /// assert_eq!(Restored::replay(records), restored);
     /// ```
     pub fn records(&self) -> Vec<Record> {
-        let standing = self.voting.map(|voting| Record::Standing { voting });
+        let eligibility = self.voting.map(|voting| Record::Eligibility { voting });
         let (term, vote) = (self.term, self.vote);
         let ballot = (term > 0).then_some(Record::Ballot { term, vote });
         let snapshot = self.snapshot.clone().map(|snapshot| Record::Snapshot {
             index: snapshot.last.index,
             term: snapshot.last.term,
             voters: snapshot.voters,
-            image: snapshot.image,
+            data: snapshot.data,
         });
         let entries = self.entries.clone();
         let entries = (!entries.is_empty()).then_some(Record::Append(entries));
-        let records = [standing, ballot, snapshot, entries];
+        let records = [eligibility, ballot, snapshot, entries];
         records.into_iter().flatten().collect()
     }
 
-    /// Whether nothing was ever written.
+    /// Whether no record was ever written.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Whether this disk never held a log or a vote, so that a new cluster may begin on it. A start
-    /// that died between its first two records counts.
-    pub(super) fn is_unborn(&self) -> bool {
+    /// Whether this disk never held a log or a vote, so that a new cluster may be bootstrapped on
+    /// it. This includes a disk whose first start crashed between its first two records.
+    pub(super) fn is_uninitialized(&self) -> bool {
         let empty = self.entries.is_empty() && self.snapshot.is_none() && self.term == 0;
         empty && self.voting != Some(false)
     }
@@ -122,9 +118,9 @@
         self.entries.extend(entries);
     }
 
-    /// Keeps the entries after the snapshot if they follow from it; a log that differs at the
-    /// snapshot's end was never committed there and goes whole.
-    fn cut(&mut self, snapshot: Snapshot) {
+    /// Installs a snapshot. Keeps the entries after it if they follow from it. A log that differs
+    /// at the snapshot's end was never committed there and is dropped whole.
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
         let follows = self.entries.iter().any(|e| {
             let here = Position {
                 term: e.term,
--- a/src/core/consensus/snapshot.rs
+++ b/src/core/consensus/snapshot.rs
@@ -1,23 +1,25 @@
-//! Snapshots reach nodes that lag behind the log's start, in bounded parts.
+//! Transfer of snapshots, in chunks of limited size, to nodes that lag behind the log's start.
 //!
-//! The sender keeps the snapshot that it began with until the transfer ends, so that compaction
-//! meanwhile doesn't start it over; images are shared, not copied. One part is under way at a
-//! time, and the receiver says how much it holds, so a lost part or a restart on either side costs
-//! a heartbeat and no more.
+//! The sender keeps the snapshot that it began with until the transfer ends, so that a compaction
+//! in the meantime doesn't restart the transfer. The snapshot's bytes are shared, not copied. One
+//! chunk is in flight at a time, and the receiver reports how many bytes it holds, so a lost chunk
+//! or a restart on either side costs one heartbeat and no more.
 
 use super::{
+    interface::{Index, Payload, Term},
     message::{Message, Position},
-    node::{Node, Standing},
+    node::{Eligibility, Node},
     restored::Snapshot,
-    seam::{Index, Payload, Term},
 };
 use crate::core::types::{NodeId, Now};
 
-/// A snapshot on its way to one node.
+/// A snapshot that is being sent to one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Transfer {
     snapshot: Snapshot,
+    /// How many bytes the receiver last reported to hold.
     held: u64,
+    /// When the chunk in flight was sent; `None` once it is answered.
     sent: Option<Now>,
 }
 
@@ -30,14 +32,14 @@
         }
     }
 
-    /// The next part, or the last one again.
-    pub(super) fn chunk(&mut self, term: Term, size: usize, now: Now) -> Message {
-        let image = &self.snapshot.image;
-        let total = image.len() as u64;
+    /// The next chunk, or the last one again.
+    pub(super) fn next_chunk(&mut self, term: Term, size: usize, now: Now) -> Message {
+        let data = &self.snapshot.data;
+        let total = data.len() as u64;
         let start = usize::try_from(self.held)
             .unwrap_or(usize::MAX)
-            .min(image.len());
-        let end = start.saturating_add(size.max(1)).min(image.len());
+            .min(data.len());
+        let end = start.saturating_add(size.max(1)).min(data.len());
         self.sent = Some(now);
         Message::Chunk {
             term,
@@ -45,7 +47,7 @@
             voters: self.snapshot.voters.clone(),
             offset: start as u64,
             total,
-            part: image.slice(start..end),
+            part: data.slice(start..end),
             sent: now,
         }
     }
@@ -60,40 +62,40 @@
         self.sent.is_none()
     }
 
-    /// Takes an answer, but for that of an older message.
-    pub(super) fn answered(&mut self, index: Index, held: u64, sent: Now) -> Answer {
+    /// Handles the answer to a chunk, and ignores answers to older messages.
+    pub(super) fn on_reply(&mut self, index: Index, held: u64, sent: Now) -> ChunkOutcome {
         if index != self.snapshot.last.index || self.sent != Some(sent) {
-            return Answer::Stale;
+            return ChunkOutcome::Stale;
         }
         self.sent = None;
         self.held = held;
-        let total = self.snapshot.image.len() as u64;
+        let total = self.snapshot.data.len() as u64;
         if held >= total {
-            Answer::Done(index)
+            ChunkOutcome::Done(index)
         } else {
-            Answer::More
+            ChunkOutcome::More
         }
     }
 }
 
-/// What an answer to a part means for its sender.
+/// What the answer to a chunk means for its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Answer {
+pub(super) enum ChunkOutcome {
     Stale,
     More,
-    /// All is on the receiver's disk, up to this index.
+    /// The whole snapshot is on the receiver's disk, up to this index.
     Done(Index),
 }
 
 /// A snapshot that is being received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     last: Position,
-    image: Vec<u8>,
+    bytes: Vec<u8>,
 }
 
-/// One part of a snapshot as received.
-pub(super) struct Part {
+/// A received chunk of a snapshot.
+pub(super) struct Chunk {
     pub(super) term: Term,
     pub(super) last: Position,
     pub(super) voters: Vec<NodeId>,
@@ -104,19 +106,19 @@
 }
 
 impl Node {
-    /// Takes a part, from the leader or from a feed.
-    pub(super) fn chunk(&mut self, from: NodeId, part: Part) {
-        let (term, last, sent, total) = (part.term, part.last, part.sent, part.total);
+    /// Handles a chunk, from the leader or from a feed.
+    pub(super) fn on_chunk(&mut self, from: NodeId, chunk: Chunk) {
+        let (term, last, sent, total) = (chunk.term, chunk.last, chunk.sent, chunk.total);
         if term > 0 && !self.accept_leader(from, term, sent) {
             return;
         }
-        if term == 0 && !self.takes_chunks(from) {
+        if term == 0 && !self.accepts_chunks(from) {
             return;
         }
-        self.touch_source(from);
+        self.refresh_source(from);
         let index = last.index;
         if index <= self.committed {
-            self.answer_chunk(
+            self.send_chunk_reply(
                 from,
                 Message::ChunkReply {
                     term,
@@ -127,11 +129,11 @@
             );
             return;
         }
-        let held = self.gather(&part);
+        let held = self.add_chunk(&chunk);
         if held >= total {
-            self.receive_snapshot(last, part.voters);
+            self.finish_snapshot(last, chunk.voters);
         }
-        self.answer_chunk(
+        self.send_chunk_reply(
             from,
             Message::ChunkReply {
                 term,
@@ -142,54 +144,53 @@
         );
     }
 
-    /// Whether to take a part of a snapshot from a feed. Only one sender is heard at a time, the
-    /// leader before the source, for parts of two snapshots would undo each other.
-    fn takes_chunks(&self, from: NodeId) -> bool {
+    /// Whether to accept a chunk from a feed. Only one sender is accepted at a time, and
+    /// a leader goes before the source: chunks of two snapshots would undo each other.
+    fn accepts_chunks(&self, from: NodeId) -> bool {
         let timeout = self.config.feed_timeout;
-        let led = self.heard.is_some_and(|heard| self.now < heard + timeout);
-        let known = self.standing != Standing::Unknown;
+        let led = self
+            .leader_seen
+            .is_some_and(|seen| self.now < seen + timeout);
+        let known = self.eligibility != Eligibility::Unknown;
         known && !led && !self.is_leader() && self.relay() == Some(from)
     }
 
-    /// Adds a part if it follows what is there, and tells how many bytes are.
-    fn gather(&mut self, part: &Part) -> u64 {
-        let fresh = Incoming {
-            last: part.last,
-            image: Vec::new(),
+    /// Adds a chunk if it continues what has been received, and returns how many bytes there are.
+    fn add_chunk(&mut self, chunk: &Chunk) -> u64 {
+        let fresh = IncomingSnapshot {
+            last: chunk.last,
+            bytes: Vec::new(),
         };
         let incoming = self.incoming.get_or_insert_with(|| fresh.clone());
-        if incoming.last != part.last {
+        if incoming.last != chunk.last {
             *incoming = fresh;
         }
-        if part.offset == incoming.image.len() as u64 {
-            incoming.image.extend_from_slice(&part.part);
+        if chunk.offset == incoming.bytes.len() as u64 {
+            incoming.bytes.extend_from_slice(&chunk.part);
         }
-        incoming.image.len() as u64
+        incoming.bytes.len() as u64
     }
 
-    fn receive_snapshot(&mut self, last: Position, voters: Vec<NodeId>) {
+    fn finish_snapshot(&mut self, last: Position, voters: Vec<NodeId>) {
         let Some(incoming) = self.incoming.take() else {
             return;
         };
-        let image = Payload::from(incoming.image);
+        let data = Payload::from(incoming.bytes);
         self.flush();
-        self.install(Snapshot {
-            last,
-            voters,
-            image,
-        });
+        self.install_snapshot(Snapshot { last, voters, data });
         self.committed = last.index;
         self.applied = last.index;
         self.restore();
     }
 
-    /// An answer that all is held waits for the disk.
-    fn answer_chunk(&mut self, to: NodeId, message: Message) {
+    /// Sends an answer once all writes so far are synced: one that reports the whole snapshot must
+    /// not precede the snapshot on disk.
+    fn send_chunk_reply(&mut self, to: NodeId, message: Message) {
         self.outbox.send_synced(to, message);
     }
 
-    /// A node answered a part: the leader's or a feed's.
-    pub(super) fn chunk_reply(&mut self, from: NodeId, reply: &Message) {
+    /// Handles a node's answer to a chunk that this node sent as leader or in a feed.
+    pub(super) fn on_chunk_reply(&mut self, from: NodeId, reply: &Message) {
         let &Message::ChunkReply {
             term,
             index,
@@ -200,17 +201,17 @@
             return;
         };
         if term == 0 {
-            self.feed_answered(from, index, held, sent);
+            self.on_feed_chunk_reply(from, index, held, sent);
             return;
         }
         let now = self.now;
-        let Some(peer) = self.hear(from, term, sent) else {
+        let Some(peer) = self.record_answer(from, term, sent) else {
             return;
         };
         let Some(transfer) = &mut peer.transfer else {
             return;
         };
-        if let Answer::Done(index) = transfer.answered(index, held, sent) {
+        if let ChunkOutcome::Done(index) = transfer.on_reply(index, held, sent) {
             peer.transfer = None;
             peer.matched(now, index);
         }
--- a/tests/consensus/checks.rs
+++ b/tests/consensus/checks.rs
@@ -1,4 +1,5 @@
-//! Exhaustive checks of the promises, each with twins that lack a protection and must fail.
+//! Exhaustive checks of the guarantees. Each is repeated with one protection off and must then
+//! fail.
 
 use std::time::Instant;
 
@@ -11,11 +12,11 @@
 use crate::model::{Appends, Bounds, Model, State};
 
 const TWO_LEADERS: &str = "two leaders in a term";
-const LACKS: &str = "a leader lacks a committed entry";
+const MISSING_ENTRY: &str = "a leader lacks a committed entry";
 const TWO_LEASES: &str = "two leases at once";
-const DEPOSED: &str = "a leader with a quorum was deposed";
+const LEADER_DEPOSED: &str = "a leader with a quorum was deposed";
 
-/// A search under a name.
+/// A search with a name for the printed report.
 struct Check {
     name: &'static str,
     model: Model,
@@ -32,13 +33,13 @@
         found
     }
 
-    /// Asserts that the model holds.
+    /// Asserts that the search finds no violation.
     fn holds(self) -> Self {
         assert_eq!(self.search(&self.model, self.name), None);
         self
     }
 
-    /// Asserts that it doesn't, under the same bounds, with a protection switched off.
+    /// Asserts that the search, within the same bounds, finds `violation` with one protection off.
     fn fails(self, without: &str, violation: &str, switch: fn(&mut Protections)) -> Self {
         let mut weak = self.model.clone();
         switch(&mut weak.protections);
@@ -53,16 +54,16 @@
 }
 
 #[test]
-fn one_leader_a_term() {
+fn at_most_one_leader_per_term() {
     let bounds = Bounds {
         timeouts: 2,
         restarts: 1,
-        lazy: 1,
-        twice: 1,
+        late_syncs: 1,
+        redeliveries: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).bare().only(&[1, 2, 3], &[3]);
-    model.appends = Appends::Lost;
+    let mut model = Model::new(bounds).safety_only().restrict(&[1, 2, 3], &[3]);
+    model.appends = Appends::None;
     check("one leader", model, Model::start)
         .holds()
         .fails("sync", TWO_LEADERS, |p| p.sync = false)
@@ -75,13 +76,13 @@
         timeouts: 1,
         proposals: 2,
         restarts: 1,
-        lazy: 1,
+        late_syncs: 1,
         ..Bounds::default()
     };
-    let model = Model::new(bounds).bare().only(&[3], &[2]);
+    let model = Model::new(bounds).safety_only().restrict(&[3], &[2]);
     check("durability", model, Model::elected)
         .holds()
-        .fails("sync", LACKS, |p| p.sync = false);
+        .fails("sync", MISSING_ENTRY, |p| p.sync = false);
 }
 
 #[test]
@@ -91,36 +92,36 @@
 
         ..Bounds::default()
     };
-    let model = Model::new(bounds).bare().only(&[1, 3], &[]);
-    check("own term", model, Model::divided)
+    let model = Model::new(bounds).safety_only().restrict(&[1, 3], &[]);
+    check("own term", model, Model::split)
         .holds()
-        .fails("own term", LACKS, |p| p.own_term = false);
+        .fails("own term", MISSING_ENTRY, |p| p.own_term = false);
 }
 
 #[test]
-fn a_lost_disk_loses_no_change() {
+fn a_lost_disk_loses_no_committed_entry() {
     let bounds = Bounds {
         timeouts: 1,
         proposals: 2,
-        wipes: 1,
+        disk_losses: 1,
         ..Bounds::default()
     };
-    let model = Model::new(bounds).bare().only(&[3], &[2]);
+    let model = Model::new(bounds).safety_only().restrict(&[3], &[2]);
     check("lost disk", model, Model::elected)
         .holds()
-        .fails("standing", LACKS, |p| p.standing = false);
+        .fails("eligibility", MISSING_ENTRY, |p| p.eligibility = false);
 }
 
 #[test]
-fn one_lease_at_once() {
+fn at_most_one_lease_at_a_time() {
     let bounds = Bounds {
-        passes: 2,
+        clock_steps: 2,
         restarts: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).only(&[1, 2], &[3]);
-    model.appends = Appends::Heartbeats;
-    model.limit = 15;
+    let mut model = Model::new(bounds).restrict(&[1, 2], &[3]);
+    model.appends = Appends::All;
+    model.max_depth = 15;
     check("lease", model, Model::elected)
         .holds()
         .fails("lease", TWO_LEASES, |p| p.lease = false);
@@ -129,31 +130,31 @@
 #[test]
 fn a_hand_over_ends_the_lease_first() {
     let bounds = Bounds {
-        passes: 1,
+        clock_steps: 1,
         handovers: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).only(&[1, 2], &[]);
-    model.appends = Appends::Heartbeats;
-    model.limit = 10;
+    let mut model = Model::new(bounds).restrict(&[1, 2], &[]);
+    model.appends = Appends::All;
+    model.max_depth = 10;
     check("hand-over", model, Model::elected)
         .holds()
-        .fails("recall", TWO_LEASES, |p| p.recall = false);
+        .fails("lease release", TWO_LEASES, |p| p.release_lease = false);
 }
 
 #[test]
-fn a_host_coming_back_deposes_nobody() {
+fn a_returning_host_deposes_no_leader() {
     let bounds = Bounds {
         timeouts: 3,
         proposals: 2,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).only(&[3], &[]);
-    model.steady = true;
-    check("coming back", model, Model::elected)
+    let mut model = Model::new(bounds).restrict(&[3], &[]);
+    model.keeps_leader = true;
+    check("returning host", model, Model::elected)
         .holds()
-        .fails("pre-vote", DEPOSED, |p| p.pre_vote = false)
-        .fails("lease", DEPOSED, |p| p.lease = false);
+        .fails("pre-vote", LEADER_DEPOSED, |p| p.pre_vote = false)
+        .fails("lease", LEADER_DEPOSED, |p| p.lease = false);
 }
 
 #[test]
@@ -164,12 +165,12 @@
         proposals: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).bare().only(&[2, 3], &[]);
+    let mut model = Model::new(bounds).safety_only().restrict(&[2, 3], &[]);
     model.joiners = vec![4, 5];
-    model.lists = vec![vec![1, 4, 5]];
-    check("voters", model, Model::elected)
+    model.voter_lists = vec![vec![1, 4, 5]];
+    check("one change of voters", model, Model::elected)
         .holds()
-        .fails("single step", LACKS, |p| p.single_step = false);
+        .fails("single server", MISSING_ENTRY, |p| p.single_server = false);
 }
 
 #[test]
@@ -181,7 +182,7 @@
         restarts: 1,
         ..Bounds::default()
     };
-    let model = Model::new(bounds).bare().only(&[2], &[3]);
+    let model = Model::new(bounds).safety_only().restrict(&[2], &[3]);
     check("snapshots", model, Model::elected).holds();
 }
 
@@ -193,11 +194,11 @@
         restarts: 1,
         ..Bounds::default()
     };
-    let model = Model::new(bounds).only(&[2, 3], &[3]);
-    check("together", model, Model::elected).holds();
+    let model = Model::new(bounds).restrict(&[2, 3], &[3]);
+    check("all protections", model, Model::elected).holds();
 }
 
-/// The cluster with an id that three nodes have founded, each with a folder of its own.
+/// A cluster with the given id, founded by three nodes that have a folder each.
 fn cluster(id: u64) -> Cluster {
     let founder = |node| Founder {
         node,
@@ -207,7 +208,7 @@
     Cluster { id, founders }
 }
 
-/// A node of a cluster, which it may know.
+/// What a node of the cluster `of` says of itself; `knows` is whether it knows its cluster.
 fn claim(node: NodeId, of: u64, knows: bool) -> Claim {
     Claim {
         node,
@@ -216,9 +217,10 @@
     }
 }
 
-/// A stray with a voter's id was elected, and took all that was committed with it.
+/// Guards against a node of another cluster that has the id of a voter: one was elected, and
+/// everything that had been committed was lost.
 #[test]
-fn a_stray_voter_of_another_cluster_counts_for_nothing() {
+fn a_voter_of_another_cluster_is_not_counted() {
     let bounds = Bounds {
         timeouts: 2,
         proposals: 1,
@@ -226,18 +228,18 @@
     };
     let knowing = [claim(1, 7, true), claim(2, 7, true)];
     let late = [claim(1, 7, true), claim(2, 7, false)];
-    for (ours, stray) in [
+    for (ours, foreign) in [
         (knowing.clone(), claim(3, 8, true)),
         (knowing, claim(3, 8, false)),
         (late, claim(3, 8, true)),
     ] {
-        let mut model = Model::new(bounds).bare().only(&[2, 3], &[]);
-        model.claims = ours.into_iter().chain([stray]).collect();
-        let check = check("stray", model, Model::strayed).holds();
+        let mut model = Model::new(bounds).safety_only().restrict(&[2, 3], &[]);
+        model.claims = ours.into_iter().chain([foreign]).collect();
+        let check = check("foreign voter", model, Model::with_foreign_voter).holds();
         let mut weak = check.model.clone();
         weak.claims.clear();
-        let found = check.search(&weak, "stray without the check");
-        assert_eq!(found, Some(LACKS));
+        let found = check.search(&weak, "foreign voter without the check");
+        assert_eq!(found, Some(MISSING_ENTRY));
     }
 }
 
@@ -249,11 +251,13 @@
         proposals: 1,
         ..Bounds::default()
     };
-    let mut model = Model::new(bounds).bare().only(&[2], &[]);
+    let mut model = Model::new(bounds).safety_only().restrict(&[2], &[]);
     model.joiners = vec![4];
-    model.lists = vec![vec![1, 2, 4], vec![1, 2, 3, 4]];
-    model.limit = 22;
-    check("two changes", model, Model::elected)
-        .holds()
-        .fails("single step", LACKS, |p| p.single_step = false);
+    model.voter_lists = vec![vec![1, 2, 4], vec![1, 2, 3, 4]];
+    model.max_depth = 22;
+    check("two changes", model, Model::elected).holds().fails(
+        "single server",
+        MISSING_ENTRY,
+        |p| p.single_server = false,
+    );
 }
--- a/tests/consensus/elections.rs
+++ b/tests/consensus/elections.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_isolated_host_coming_back_disturbs_nobody() {
+fn a_returning_isolated_host_disturbs_no_leader() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let term = world.node(leader).term();
@@ -43,21 +43,21 @@
 }
 
 #[test]
-fn a_leader_that_can_send_but_not_hear_steps_down() {
+fn a_leader_that_can_send_but_not_receive_steps_down() {
     let mut world = World::voters(3);
     let leader = world.elect();
     world.cut(&[1, 2, 3], &[leader]);
     world.until(SECOND, |w| !w.node(leader).is_leader());
-    assert_eq!(world.resigned, [(leader, Resignation::Unheard)]);
+    assert_eq!(world.resigned, [(leader, Resignation::NoQuorum)]);
     world.until(SECOND * 4, |w| w.leader().is_some_and(|l| l != leader));
 }
 
 #[test]
-fn a_leader_that_was_held_up_itself_asks_once_more_before_it_steps_down() {
+fn a_delayed_leader_waits_for_answers_once_more_before_it_steps_down() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let term = world.node(leader).term();
-    // A step that took longer than a lease, and less than the others wait for a leader.
+    // One step takes longer than a lease, but less than the other voters wait for a leader.
     world.now += SECOND * 47 / 100;
     assert_eq!(world.leader(), None, "its lease ran out");
     world.run(SECOND / 20);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_leader_that_is_held_up_again_and_again_without_a_quorum_steps_down() {
+fn a_leader_delayed_repeatedly_without_a_quorum_steps_down() {
     let mut world = World::voters(3);
     let leader = world.elect();
     world.isolate(leader);
@@ -75,8 +75,8 @@
         world.now += SECOND * 47 / 100;
         world.tick();
     }
-    // Whoever is elected meanwhile is held up too.
-    assert_eq!(world.resigned[0], (leader, Resignation::Unheard));
+    // A leader that is elected in the meantime is delayed, too.
+    assert_eq!(world.resigned[0], (leader, Resignation::NoQuorum));
     assert!(!world.node(leader).is_leader());
 }
 
@@ -103,10 +103,10 @@
 }
 
 #[test]
-fn a_leader_whose_disk_is_stuck_makes_way() {
+fn a_leader_with_a_stalled_disk_steps_down() {
     let mut world = World::voters(3);
     let old = world.elect();
-    world.stuck.insert(old);
+    world.stalled_disks.insert(old);
     world.propose(old, 1);
     world.until(SECOND * 5, |w| w.leader().is_some_and(|l| l != old));
     assert_eq!(world.resigned, [(old, Resignation::Stalled)]);
@@ -136,12 +136,12 @@
 }
 
 #[test]
-fn a_voter_that_was_frozen_does_not_take_old_messages_for_news() {
+fn a_paused_voter_does_not_count_old_messages_as_contact() {
     let mut world = World::voters(3);
     let leader = world.elect();
     world.run(SECOND);
     let voter = leader % 3 + 1;
-    let heard = world.node(voter).contact();
+    let before_pause = world.node(voter).last_contact();
     let waiting = world
         .sent
         .iter()
@@ -157,7 +157,7 @@
             message: message.clone(),
         },
     );
-    assert_eq!(node.contact(), heard, "it waited in a socket");
+    assert_eq!(node.last_contact(), before_pause, "it waited in a socket");
     let later = later + SECOND;
     for tick in 0..100 {
         node.step(later - SECOND + SECOND / 100 * tick, Input::Tick);
@@ -169,5 +169,5 @@
             message,
         },
     );
-    assert_eq!(node.contact(), Some(later));
+    assert_eq!(node.last_contact(), Some(later));
 }
--- a/tests/consensus/followers.rs
+++ b/tests/consensus/learners.rs
@@ -1,4 +1,4 @@
-//! Followers hear of changes through one relay a data centre.
+//! Learners receive committed entries through one relay per data centre.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 const SECOND: Duration = Duration::from_secs(1);
 const VOTERS: [NodeId; 3] = [1, 2, 3];
 
-/// Voters 1 to 3 in three data centres, followers 4 to 7 in a fourth.
-fn place(id: NodeId) -> Config {
+/// Voters 1 to 3 in three data centres, learners 4 to 7 in a fourth.
+fn node_config(id: NodeId) -> Config {
     let places = ["lagos", "ikeja", "lekki"];
     (1..=7).fold(config(id, &VOTERS).disk(id <= 3), |config, node| {
-        config.place(
+        config.location(
             node,
             places.get(node as usize - 1).copied().unwrap_or("yaba"),
         )
@@ -24,14 +24,15 @@
 }
 
 fn world() -> World {
-    let mut world = World::new((1..=7).map(place).collect());
+    let mut world = World::new((1..=7).map(node_config).collect());
     world.elect();
-    // Relays that had no news before the first election are tried again after a while.
+    // Relays that had no contact with a leader before the first election are tried again after a
+    // while.
     world.run(SECOND * 5);
     world
 }
 
-/// How many of the followers' feeds crossed between data centres.
+/// How many feeds with entries crossed from the voters' data centres to the learners'.
 fn crossings(world: &World) -> usize {
     let crosses = |from: &NodeId, m: &Message| {
         matches!(m, Message::Feed { entries, .. } if !entries.is_empty()) && *from <= 3
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn one_relay_a_data_centre_and_another_when_it_dies() {
+fn one_relay_per_data_centre_and_another_when_it_fails() {
     let mut world = world();
     assert!((5..=7).all(|id| world.node(id).relay() == Some(4)));
     world.sent.clear();
@@ -64,21 +65,21 @@
 }
 
 #[test]
-fn a_relay_cut_off_from_voters_is_passed_over_and_fed_by_the_next() {
+fn a_relay_cut_off_from_voters_is_skipped_and_fed_by_the_next() {
     let mut world = world();
     world.cut(&VOTERS, &[4]);
     world.propose(world.leader().unwrap(), 1);
     world.until(SECOND * 3, |w| (4..=7).all(|id| w.commands(id) == [1]));
     for _ in 0..1000 {
         world.tick();
-        let age = |id| world.now - world.node(id).contact().unwrap();
+        let age = |id| world.now - world.node(id).last_contact().unwrap();
         assert!((4..=7).all(|id| age(id) < SECOND), "at {:?}", world.now);
     }
     assert!(world.node(5).relay().is_some_and(|relay| relay <= 3));
 }
 
 #[test]
-fn a_follower_that_is_cut_off_names_no_leader() {
+fn a_learner_that_is_cut_off_names_no_leader() {
     let mut world = world();
     assert!(world.node(7).leader().is_some());
     world.isolate(7);
@@ -88,18 +89,20 @@
 }
 
 #[test]
-fn a_data_centre_that_is_cut_off_names_no_leader_though_its_voter_was_passed_over() {
+fn a_data_centre_that_is_cut_off_names_no_leader_though_its_voter_was_skipped() {
     let places = ["lagos", "lagos", "ikeja", "ikeja", "lekki", "lekki"];
     let voters: [NodeId; 3] = [1, 3, 5];
-    let place = |id: NodeId| {
+    let with_locations = |id: NodeId| {
         let config = config(id, &voters).disk(voters.contains(&id));
         let nodes = (1..=6).zip(places);
-        nodes.fold(config, |config, (node, centre)| config.place(node, centre))
+        nodes.fold(config, |config, (node, centre)| {
+            config.location(node, centre)
+        })
     };
-    let mut world = World::new((1..=6).map(place).collect());
+    let mut world = World::new((1..=6).map(with_locations).collect());
     world.elect();
     world.run(SECOND * 5);
-    // A voter that is too busy to answer its neighbour, which turns to another data centre.
+    // The voter is too busy to answer the learner beside it, which switches to another data centre.
     world.cut(&[1], &[2]);
     world.run(SECOND * 2);
     assert!(world.node(2).relay().is_some_and(|relay| relay > 2));
@@ -111,14 +114,14 @@
     let voter = world.now - cut;
     world.until(SECOND * 20, |w| w.node(2).leader().is_none());
     println!(
-        "the voter after {voter:?}, the follower after {:?}",
+        "the voter after {voter:?}, the learner after {:?}",
         world.now - cut
     );
     assert!(world.now - cut <= SECOND);
 }
 
 #[test]
-fn a_restarted_follower_catches_up_on_a_thousand_changes_in_a_few_round_trips() {
+fn a_restarted_learner_catches_up_on_a_thousand_changes_in_a_few_round_trips() {
     let mut world = world();
     world.crash(6);
     let leader = world.leader().unwrap();
@@ -136,7 +139,7 @@
 }
 
 #[test]
-fn a_follower_far_behind_gets_a_snapshot() {
+fn a_learner_far_behind_gets_a_snapshot() {
     let mut world = world();
     world.crash(6);
     let leader = world.leader().unwrap();
@@ -166,10 +169,8 @@
             .filter(|(from, to, _)| *from == id || *to == id);
         own.map(|(_, _, message)| size(message)).sum::<usize>() / 10
     };
-    let follower = (5..=7).map(rate).max().unwrap();
+    let learner = (5..=7).map(rate).max().unwrap();
     let (leader, relay) = (rate(leader), rate(4));
-    println!(
-        "idle bytes a second, in and out: leader {leader}, relay {relay}, follower {follower}"
-    );
-    assert!(leader.max(relay).max(follower) < 5_000);
+    println!("idle bytes a second, in and out: leader {leader}, relay {relay}, learner {learner}");
+    assert!(leader.max(relay).max(learner) < 5_000);
 }
--- a/tests/consensus/main.rs
+++ b/tests/consensus/main.rs
@@ -1,8 +1,8 @@
-//! What consensus promises, checked on the real core.
+//! The guarantees of consensus, checked on the real implementation.
 
 mod checks;
 mod elections;
-mod followers;
+mod learners;
 mod membership;
 mod model;
 mod random;
--- a/tests/consensus/membership.rs
+++ b/tests/consensus/membership.rs
@@ -1,8 +1,8 @@
-//! Voters come and go, one at a time.
+//! Changes of voters, one at a time.
 
 use std::time::Duration;
 
-use egretpin::core::consensus::{Input, Output, Standing};
+use egretpin::core::consensus::{Eligibility, Input, Output};
 
 use crate::world::{World, config};
 
@@ -17,9 +17,11 @@
     world.crash(dead);
     let rest: Vec<_> = (1..=3).filter(|&id| id != dead).collect();
     world.reconfigure(&rest);
-    let directory = (1..=4).fold(config(4, &[]), |c, id| c.place(id, "north"));
+    let directory = (1..=4).fold(config(4, &[]), |c, id| c.location(id, "north"));
     world.add(directory);
-    world.until(SECOND * 2, |w| w.node(4).standing() == Standing::Member);
+    world.until(SECOND * 2, |w| {
+        w.node(4).eligibility() == Eligibility::Eligible
+    });
     let voters = [rest[0], rest[1], 4];
     world.reconfigure(&voters);
     world.crash(leader);
@@ -33,15 +35,17 @@
     let leader = world.elect();
     let lost = leader % 3 + 1;
     world.crash(lost);
-    let directory = (1..=3).fold(config(lost, &[]), |c, id| c.place(id, "north"));
+    let directory = (1..=3).fold(config(lost, &[]), |c, id| c.location(id, "north"));
     world.add(directory);
-    world.until(SECOND * 2, |w| w.node(lost).standing() == Standing::Barred);
+    world.until(SECOND * 2, |w| {
+        w.node(lost).eligibility() == Eligibility::Ineligible
+    });
     world.crash(lost);
     world.start(lost);
-    assert_eq!(world.node(lost).standing(), Standing::Barred);
+    assert_eq!(world.node(lost).eligibility(), Eligibility::Ineligible);
     world.commit(1);
     world.run(SECOND);
-    assert_eq!(world.commands(lost), [1], "it is still fed");
+    assert_eq!(world.commands(lost), [1], "it still receives entries");
     world.crash(leader);
     world.run(SECOND * 10);
     assert_eq!(
@@ -68,7 +72,7 @@
         answers[..],
         [
             Output::Rejected { proposal: 1, .. },
-            Output::Placed { proposal: 2, .. },
+            Output::Appended { proposal: 2, .. },
             Output::Rejected { proposal: 3, .. }
         ]
     ));
@@ -95,11 +99,11 @@
     assert!(!world.node(old).is_voter());
     world.commit(5);
     world.run(SECOND);
-    assert_eq!(world.commands(old), [5], "it follows from now on");
+    assert_eq!(world.commands(old), [5], "it is a learner from now on");
 }
 
 #[test]
-fn a_node_that_is_gone_holds_up_the_change_that_adds_it_for_two_seconds_at_most() {
+fn a_lost_node_holds_up_the_change_that_adds_it_for_two_seconds_at_most() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let voters = vec![1, 2, 3, 9];
@@ -110,7 +114,7 @@
             voters,
         },
     );
-    assert!(world.answers.is_empty(), "it is waited for");
+    assert!(world.answers.is_empty(), "the leader waits for node 9");
     world.until(SECOND * 5 / 2, |w| !w.answers.is_empty());
     assert!(matches!(
         world.answers[..],
@@ -129,13 +133,18 @@
     let limit = SECOND * 3 / 2;
     world.crash(gone);
     world.run(SECOND);
-    assert!(world.node(leader).silent(limit).is_empty());
+    assert!(world.node(leader).silent_voters(limit).is_empty());
     world.run(SECOND);
-    assert_eq!(world.node(leader).silent(limit), [gone]);
-    assert!(world.node(6 - leader - gone).silent(limit).is_empty());
+    assert_eq!(world.node(leader).silent_voters(limit), [gone]);
+    assert!(
+        world
+            .node(6 - leader - gone)
+            .silent_voters(limit)
+            .is_empty()
+    );
     world.start(gone);
     world.run(SECOND);
-    assert!(world.node(leader).silent(limit).is_empty());
+    assert!(world.node(leader).silent_voters(limit).is_empty());
 }
 
 #[test]
@@ -144,16 +153,16 @@
     let leader = world.elect();
     let hung = leader % 3 + 1;
     world.commit(1);
-    world.stuck.insert(hung);
+    world.stalled_disks.insert(hung);
     let limit = SECOND * 3 / 2;
     world.run(SECOND * 3);
     assert!(
-        world.node(leader).silent(limit).is_empty(),
-        "it owes nothing"
+        world.node(leader).silent_voters(limit).is_empty(),
+        "no entry waits for its disk"
     );
     world.commit(2);
     world.run(SECOND * 2);
-    assert_eq!(world.node(leader).silent(limit), [hung]);
+    assert_eq!(world.node(leader).silent_voters(limit), [hung]);
 }
 
 #[test]
@@ -161,11 +170,13 @@
     let mut world = World::voters(3);
     let leader = world.elect();
     world.commit(1);
-    let directory = (1..=4).fold(config(4, &[]), |c, id| c.place(id, "north"));
+    let directory = (1..=4).fold(config(4, &[]), |c, id| c.location(id, "north"));
     world.add(directory);
-    world.until(SECOND * 2, |w| w.node(4).standing() == Standing::Member);
+    world.until(SECOND * 2, |w| {
+        w.node(4).eligibility() == Eligibility::Eligible
+    });
     world.run(SECOND);
-    world.stuck.insert(4);
+    world.stalled_disks.insert(4);
     world.commit(2);
     world.input(
         leader,
@@ -174,16 +185,16 @@
             voters: vec![1, 2, 3, 4],
         },
     );
-    assert!(world.node(leader).is_changing());
-    // More than may be missing of one that is close.
+    assert!(world.node(leader).is_changing_voters());
+    // More entries than a new voter may lack when it is added.
     (3..30).for_each(|command| world.commit(command));
-    world.until(SECOND * 2, |w| !w.node(leader).is_changing());
+    world.until(SECOND * 2, |w| !w.node(leader).is_changing_voters());
     assert_eq!(world.node(leader).voters(), [1, 2, 3]);
     world.commit(30);
 }
 
 #[test]
-fn the_former_leader_is_silent_from_when_it_was_last_heard() {
+fn the_former_leader_counts_as_silent_since_its_last_message() {
     let mut world = World::voters(3);
     let gone = world.elect();
     world.commit(1);
@@ -192,13 +203,15 @@
     let lost = world.now;
     world.until(SECOND * 2, |w| w.leader().is_some_and(|l| l != gone));
     let leader = world.leader().unwrap();
-    world.until(SECOND * 2, |w| w.node(leader).silent(limit) == [gone]);
+    world.until(SECOND * 2, |w| {
+        w.node(leader).silent_voters(limit) == [gone]
+    });
     let took = world.now - lost;
     assert!(took <= SECOND * 17 / 10, "{took:?}");
 }
 
 #[test]
-fn a_node_that_is_about_to_end_begins_to_lead_no_more() {
+fn a_node_that_is_about_to_stop_does_not_become_leader() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let others: Vec<_> = (1..=3).filter(|&id| id != leader).collect();
@@ -209,7 +222,7 @@
             to: Some(others[0]),
         },
     );
-    // It can't do so by an election either.
+    // It can't become leader by an election either.
     for _ in 0..20 {
         world.run(SECOND / 4);
         assert_ne!(world.leader(), Some(others[0]));
@@ -218,7 +231,7 @@
 }
 
 #[test]
-fn a_change_that_waits_for_its_voter_is_answered_when_the_leader_falls() {
+fn a_change_that_waits_for_its_voter_is_rejected_when_the_leader_steps_down() {
     let mut world = World::voters(3);
     let leader = world.elect();
     let voters = vec![1, 2, 3, 9];
@@ -231,7 +244,7 @@
     );
     assert!(
         world.answers.is_empty(),
-        "9 is not up to date, and never will be"
+        "node 9 is not up to date, and never will be"
     );
     world.isolate(leader);
     world.run(SECOND);
--- a/tests/consensus/model.rs
+++ b/tests/consensus/model.rs
@@ -1,10 +1,10 @@
-//! A model of a cluster for exhaustive search: the real nodes, their disks, and every message
-//! ever sent that could still arrive.
+//! A model of a cluster for exhaustive search: the real nodes, their disks, and every message ever
+//! sent that could still arrive.
 //!
-//! Messages stay for ever and can be delivered at any time, any number of times, so loss, delay,
-//! reordering, duplication and cuts need no steps of their own: a lost message is one that the
-//! search doesn't deliver. A host that is down is one that gets no steps, so a crash and the
-//! restart after it are one step.
+//! Messages are kept for ever and can be delivered at any time and any number of times, so loss,
+//! delay, reordering, duplication and cut links need no steps of their own: a lost message is one
+//! that the search doesn't deliver. A host that is down is one that gets no steps, so a crash and
+//! the restart after it are one step.
 
 use std::{
     hash::{Hash, Hasher},
@@ -16,8 +16,8 @@
 use egretpin::core::{
     cluster::Claim,
     consensus::{
-        Config, Content, Entry, Index, Input, Message, Node, Output, Payload, Protections, Record,
-        Restored, Term, Verdict,
+        AppendOutcome, Config, Content, Entry, Index, Input, Message, Node, Output, Payload,
+        Protections, Record, Restored, Term,
     },
     types::{NodeId, Now},
 };
@@ -29,64 +29,66 @@
 /// One unit of the models' clocks.
 pub(crate) const UNIT: Duration = Duration::from_millis(100);
 
-/// The last term of a stray's own cluster.
-const STRAY: Term = 4;
+/// The last term in the cluster that the foreign voter comes from.
+const FOREIGN_TERM: Term = 4;
 
-/// How much of each thing a search may do.
+/// How many steps of each kind a search may take.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Bounds {
-    /// A host's own clock runs past its election deadline.
+    /// A host's own clock advances beyond its election deadline.
     pub(crate) timeouts: u8,
-    /// All clocks move by a unit, and hosts tick when they like.
-    pub(crate) passes: u8,
-    /// A leader gets a command.
+    /// All clocks advance by one unit, and hosts may tick at any time.
+    pub(crate) clock_steps: u8,
+    /// A leader receives a command.
     pub(crate) proposals: u8,
     /// A host crashes and restarts.
     pub(crate) restarts: u8,
     /// A host's writes stay unsynced for a while.
-    pub(crate) lazy: u8,
-    /// A message is delivered and stays under way.
-    pub(crate) twice: u8,
-    /// A host loses its disk and comes back.
-    pub(crate) wipes: u8,
-    /// A host hands in its state machine's image.
+    pub(crate) late_syncs: u8,
+    /// A message is delivered and kept for another delivery.
+    pub(crate) redeliveries: u8,
+    /// A host loses its disk and starts again.
+    pub(crate) disk_losses: u8,
+    /// A host passes in its state machine's snapshot.
     pub(crate) compactions: u8,
-    /// A leader is told to hand over.
+    /// A leader is asked to hand leadership over.
     pub(crate) handovers: u8,
-    /// A leader is told to change the voters to the next list.
+    /// A leader is asked to change the voters to the next list.
     pub(crate) changes: u8,
 }
 
-/// Which of the leaders' messages arrive. Fewer make a search go further in the same states.
+/// Which of the leaders' append messages arrive. With fewer of them a search of as many states goes
+/// deeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Appends {
     /// None.
-    Lost,
+    None,
     /// Those with entries.
-    Entries,
-    /// All.
-    Heartbeats,
+    WithEntries,
+    /// All, heartbeats included.
+    All,
 }
 
-/// What is searched.
+/// What a search explores, and within which limits.
 #[derive(Clone, Debug)]
 pub(crate) struct Model {
     pub(crate) voters: Vec<NodeId>,
     pub(crate) joiners: Vec<NodeId>,
     pub(crate) protections: Protections,
     pub(crate) bounds: Bounds,
-    /// The lists of voters that leaders are told to change to, last first.
-    pub(crate) lists: Vec<Vec<NodeId>>,
-    /// Hosts whose clocks run on.
+    /// The lists of voters that leaders are asked to change to, the last one first.
+    pub(crate) voter_lists: Vec<Vec<NodeId>>,
+    /// Hosts whose own clocks may advance beyond their election deadlines.
     pub(crate) timers: Vec<NodeId>,
-    /// Hosts that crash, lose disks and sync late.
+    /// Hosts that may crash, lose their disks and sync late.
     pub(crate) faulty: Vec<NodeId>,
     pub(crate) appends: Appends,
-    /// Whether host 1 must go on leading.
-    pub(crate) steady: bool,
-    /// How many steps a search goes at most.
-    pub(crate) limit: u32,
-    /// What hosts say of themselves, by which they admit each other; all do if none is given.
+    /// Whether it is a violation if host 1 stops leading.
+    pub(crate) keeps_leader: bool,
+    /// The greatest number of steps from the start.
+    pub(crate) max_depth: u32,
+    /// What hosts say of themselves, by which they admit each other. With none given, all admit
+    /// each other.
     pub(crate) claims: Vec<Claim>,
 }
 
@@ -98,7 +100,7 @@
     pub(crate) violation: Option<&'static str>,
 }
 
-/// A value shared between states, with its hash taken once: most successors are known already.
+/// A value that states share, with its hash computed once: most successor states are known already.
 #[derive(Clone, Debug)]
 struct Shared<T> {
     value: Rc<T>,
@@ -115,7 +117,7 @@
         shared
     }
 
-    /// The value, for a change that [`Shared::seal`] must follow.
+    /// Returns the value for a change, after which [`Shared::seal`] must be called.
     fn edit(&mut self) -> &mut T {
         self.hash = 0;
         Rc::make_mut(&mut self.value)
@@ -152,7 +154,7 @@
     }
 }
 
-/// A machine.
+/// A host: a node, its clock and its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Host {
     node: Node,
@@ -161,7 +163,7 @@
     unsynced: Vec<(u64, Record)>,
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Packet {
     from: NodeId,
@@ -169,36 +171,36 @@
     message: Message,
 }
 
-/// What must never be contradicted.
+/// What happened so far and later steps must not contradict.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct History {
-    /// Who led each term.
+    /// The leader of each term.
     leaders: Vec<(Term, NodeId)>,
-    /// What was applied anywhere, from index 1.
+    /// The entries that any host applied, from index 1.
     applied: Vec<Entry>,
     violation: Option<&'static str>,
 }
 
-/// One state of the whole. How deep it was found is no part of it.
+/// One state of the whole cluster. The depth at which it was found doesn't count in comparisons.
 #[derive(Clone, Debug)]
 pub(crate) struct State {
     hosts: Vec<Shared<Host>>,
     network: Vec<Shared<Packet>>,
     history: Shared<History>,
-    left: Bounds,
-    /// Whether all clocks go alike, so that leases can be compared.
+    remaining: Bounds,
+    /// Whether all clocks advance together, so that leases can be compared.
     synchronous: bool,
-    /// Which hosts may sync late.
+    /// Whether each host may sync late.
     faulty: Vec<bool>,
     appends: Appends,
-    /// Whether host 1 must go on leading in the term it led at the start.
-    steady: Option<Term>,
+    /// The term that host 1 must go on leading, if losing it is a violation.
+    kept_term: Option<Term>,
     depth: u32,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.left == other.left
+        self.remaining == other.remaining
             && self.hosts == other.hosts
             && self.network == other.network
             && self.history == other.history
@@ -209,7 +211,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.left.hash(state);
+        self.remaining.hash(state);
         self.hosts.hash(state);
         self.network.hash(state);
         self.history.hash(state);
@@ -223,26 +225,26 @@
             joiners: Vec::new(),
             protections: Protections::default(),
             bounds,
-            lists: Vec::new(),
+            voter_lists: Vec::new(),
             timers: vec![1, 2, 3],
             faulty: vec![1, 2, 3],
-            appends: Appends::Entries,
-            steady: false,
-            limit: u32::MAX,
+            appends: Appends::WithEntries,
+            keeps_leader: false,
+            max_depth: u32::MAX,
             claims: Vec::new(),
         }
     }
 
-    /// The hosts whose clocks run on, and those that fail.
-    pub(crate) fn only(mut self, timers: &[NodeId], faulty: &[NodeId]) -> Self {
+    /// Limits the hosts whose clocks may advance alone, and those that may fail.
+    pub(crate) fn restrict(mut self, timers: &[NodeId], faulty: &[NodeId]) -> Self {
         self.timers = timers.to_vec();
         self.faulty = faulty.to_vec();
         self
     }
 
-    /// Without pre-votes and leases. Safety doesn't rest on them, and more can happen without them
-    /// in as many steps.
-    pub(crate) fn bare(mut self) -> Self {
+    /// Turns pre-votes and leases off. Safety doesn't depend on them, and without them more can
+    /// happen in as many steps.
+    pub(crate) fn safety_only(mut self) -> Self {
         self.protections.pre_vote = false;
         self.protections.lease = false;
         self
@@ -259,7 +261,7 @@
             .protections(self.protections.clone())
     }
 
-    /// All hosts started, nothing said.
+    /// All hosts have started and nothing has been sent.
     pub(crate) fn start(&self) -> State {
         let hosts = self.voters.iter().map(|&id| {
             let config = self.config(id).bootstrap(self.voters.clone());
@@ -277,24 +279,24 @@
             hosts: hosts.chain(joiners).map(Shared::new).collect(),
             network: Vec::new(),
             history: Shared::new(History::default()),
-            left: self.bounds,
-            synchronous: self.bounds.passes > 0,
+            remaining: self.bounds,
+            synchronous: self.bounds.clock_steps > 0,
             faulty: ids.map(|id| self.faulty.contains(id)).collect(),
             appends: self.appends,
-            steady: None,
+            kept_term: None,
             depth: 0,
         };
         for at in 0..state.hosts.len() {
-            // An input that says nothing new brings out what the start had to write.
+            // An input without news returns what the start had to write.
             state.step(at, Input::Nodes(Vec::new()), false);
         }
         state
     }
 
-    /// Host 1 leads and all is quiet.
+    /// Host 1 leads and no message is in flight.
     pub(crate) fn elected(&self) -> State {
         let mut state = self.start();
-        state.appends = Appends::Heartbeats;
+        state.appends = Appends::All;
         for host in &mut state.hosts {
             host.edit().clock += UNIT * 3;
         }
@@ -302,12 +304,12 @@
         state.settle(true);
         assert!(state.hosts[0].node.is_leader());
         state.appends = self.appends;
-        state.steady = self.steady.then(|| state.hosts[0].node.term());
+        state.kept_term = self.keeps_leader.then(|| state.hosts[0].node.term());
         state
     }
 
-    /// Host 1 led and host 3 leads, and each has an entry that nobody else has.
-    pub(crate) fn divided(&self) -> State {
+    /// Host 1 led and host 3 leads, and each has an entry that no other host has.
+    pub(crate) fn split(&self) -> State {
         let mut state = self.elected();
         let payload = Payload::from(vec![9]);
         state.step(
@@ -325,8 +327,8 @@
         state
     }
 
-    /// Host 1 leads, and at the place of host 3 is one with the disk of another cluster.
-    pub(crate) fn strayed(&self) -> State {
+    /// Host 1 leads, and host 3 has been replaced by one with the disk of another cluster.
+    pub(crate) fn with_foreign_voter(&self) -> State {
         let mut state = self.elected();
         let contents = [
             Content::Voters(self.voters.clone()),
@@ -335,13 +337,13 @@
         ];
         let entries = contents.into_iter().zip(1..);
         let entries = entries.map(|(content, index)| Entry {
-            term: if index == 1 { 0 } else { STRAY },
+            term: if index == 1 { 0 } else { FOREIGN_TERM },
             index,
             content,
         });
         let disk = Restored {
             voting: Some(true),
-            term: STRAY,
+            term: FOREIGN_TERM,
             entries: entries.collect(),
             ..Restored::default()
         };
@@ -349,7 +351,7 @@
         state
     }
 
-    /// Whether two hosts may be linked.
+    /// Whether two hosts may exchange messages.
     fn admits(&self, one: NodeId, other: NodeId) -> bool {
         let claim = |id| self.claims.iter().find(|claim| claim.node == id);
         match (claim(one), claim(other)) {
@@ -358,7 +360,7 @@
         }
     }
 
-    /// Searches all that can follow from a state.
+    /// Searches all states that can follow from a state.
     pub(crate) fn search(&self, start: State) -> Report {
         let (mut states, mut depth) = (0, 0);
         for state in bfs_reach(start, |s| self.successors(s)) {
@@ -382,7 +384,7 @@
 
     fn successors(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
-        if state.depth >= self.limit {
+        if state.depth >= self.max_depth {
             return next;
         }
         self.deliveries(state, &mut next);
@@ -390,9 +392,9 @@
             self.faults(state, at, &mut next);
             self.inputs(state, at, &mut next);
         }
-        if state.left.passes > 0 {
+        if state.remaining.clock_steps > 0 {
             let mut state = state.clone();
-            state.left.passes -= 1;
+            state.remaining.clock_steps -= 1;
             for host in &mut state.hosts {
                 host.edit().clock += UNIT;
             }
@@ -400,14 +402,14 @@
         }
         for state in &mut next {
             state.depth += 1;
-            state.tidy();
+            state.normalize();
         }
         next
     }
 
     fn deliveries(&self, state: &State, next: &mut Vec<State>) {
         for (i, packet) in state.network.iter().enumerate() {
-            let Some(at) = state.find(packet.to) else {
+            let Some(at) = state.host_index(packet.to) else {
                 continue;
             };
             if !self.admits(packet.to, packet.from) {
@@ -418,9 +420,9 @@
             let mut once = state.clone();
             once.network.remove(i);
             once.step_both(at, &input, state, next);
-            if state.left.twice > 0 {
+            if state.remaining.redeliveries > 0 {
                 let mut twice = state.clone();
-                twice.left.twice -= 1;
+                twice.remaining.redeliveries -= 1;
                 twice.step_both(at, &input, state, next);
             }
         }
@@ -436,16 +438,16 @@
         if !self.faulty.contains(&host.node.id()) {
             return;
         }
-        if state.left.restarts > 0 {
+        if state.remaining.restarts > 0 {
             let mut state = state.clone();
-            state.left.restarts -= 1;
+            state.remaining.restarts -= 1;
             let disk = host.disk.clone();
             state.restart(at, self.config(host.node.id()), disk);
             next.push(state);
         }
-        if state.left.wipes > 0 {
+        if state.remaining.disk_losses > 0 {
             let mut state = state.clone();
-            state.left.wipes -= 1;
+            state.remaining.disk_losses -= 1;
             state.restart(at, self.config(host.node.id()), Restored::default());
             next.push(state);
         }
@@ -453,41 +455,41 @@
 
     fn inputs(&self, state: &State, at: usize, next: &mut Vec<State>) {
         let host = &state.hosts[at];
-        if state.left.timeouts > 0 && self.timers.contains(&host.node.id()) {
+        if state.remaining.timeouts > 0 && self.timers.contains(&host.node.id()) {
             let mut later = state.clone();
-            later.left.timeouts -= 1;
+            later.remaining.timeouts -= 1;
             later.hosts[at].edit().clock += UNIT * 3;
             later.step_both(at, &Input::Tick, state, next);
         }
-        if self.bounds.passes > 0 && self.timers.contains(&host.node.id()) {
+        if self.bounds.clock_steps > 0 && self.timers.contains(&host.node.id()) {
             state.clone().step_both(at, &Input::Tick, state, next);
         }
-        if state.left.compactions > 0 && host.node.committed() > 1 {
+        if state.remaining.compactions > 0 && host.node.committed() > 1 {
             let mut later = state.clone();
-            later.left.compactions -= 1;
+            later.remaining.compactions -= 1;
             let index = host.node.committed();
-            let image = image(&state.history.applied, index);
-            later.step_both(at, &Input::Compact { index, image }, state, next);
+            let snapshot = state_snapshot(&state.history.applied, index);
+            later.step_both(at, &Input::Compact { index, snapshot }, state, next);
         }
         if !host.node.is_leader() {
             return;
         }
-        if state.left.proposals > 0 {
+        if state.remaining.proposals > 0 {
             let mut later = state.clone();
-            later.left.proposals -= 1;
-            let proposal = u64::from(state.left.proposals);
-            let payload = Payload::from(vec![state.left.proposals]);
+            later.remaining.proposals -= 1;
+            let proposal = u64::from(state.remaining.proposals);
+            let payload = Payload::from(vec![state.remaining.proposals]);
             later.step_both(at, &Input::Propose { proposal, payload }, state, next);
         }
-        if state.left.handovers > 0 {
+        if state.remaining.handovers > 0 {
             let mut later = state.clone();
-            later.left.handovers -= 1;
+            later.remaining.handovers -= 1;
             later.step_both(at, &Input::HandOver { to: None }, state, next);
         }
-        if state.left.changes > 0 {
+        if state.remaining.changes > 0 {
             let mut later = state.clone();
-            later.left.changes -= 1;
-            let voters = self.lists[usize::from(later.left.changes)].clone();
+            later.remaining.changes -= 1;
+            let voters = self.voter_lists[usize::from(later.remaining.changes)].clone();
             later.step_both(
                 at,
                 &Input::Reconfigure {
@@ -514,24 +516,24 @@
 }
 
 impl State {
-    fn find(&self, id: NodeId) -> Option<usize> {
+    fn host_index(&self, id: NodeId) -> Option<usize> {
         self.hosts.iter().position(|h| h.node.id() == id)
     }
 
-    /// Steps a host, once with its writes synced at once and once, if bounds allow, with them
-    /// left for later. What changes nothing is left out.
+    /// Steps a host, once with its writes synced at once and once, if the bounds allow it, with its
+    /// writes left unsynced. A step that changes nothing is left out.
     fn step_both(self, at: usize, input: &Input, before: &Self, next: &mut Vec<Self>) {
         let mut prompt = self.clone();
         prompt.step(at, input.clone(), false);
         let same = prompt.hosts[at].value == before.hosts[at].value;
         let quiet = same && prompt.network.len() == self.network.len();
-        if quiet && prompt.left == before.left {
+        if quiet && prompt.remaining == before.remaining {
             return;
         }
         next.push(prompt);
-        if self.left.lazy > 0 && self.faulty[at] {
+        if self.remaining.late_syncs > 0 && self.faulty[at] {
             let mut lazy = self;
-            lazy.left.lazy -= 1;
+            lazy.remaining.late_syncs -= 1;
             lazy.step(at, input.clone(), true);
             if !lazy.hosts[at].unsynced.is_empty() {
                 next.push(lazy);
@@ -544,12 +546,12 @@
         let (id, was) = (host.node.id(), host.node.committed());
         let outputs = host.node.step(host.clock, input);
         if host.node.committed() < was {
-            self.violate("a committed index went back");
+            self.record_violation("a committed index went back");
         }
         for output in outputs {
             self.output(id, at, output);
         }
-        self.watch(at);
+        self.check_host(at);
         if !lazy {
             self.sync(at);
         }
@@ -559,9 +561,9 @@
         match output {
             Output::Send { to, message } => {
                 let needs = match &message {
-                    Message::Append { entries, .. } if entries.is_empty() => Appends::Heartbeats,
-                    Message::Append { .. } => Appends::Entries,
-                    _ => Appends::Lost,
+                    Message::Append { entries, .. } if entries.is_empty() => Appends::All,
+                    Message::Append { .. } => Appends::WithEntries,
+                    _ => Appends::None,
                 };
                 if needs > self.appends {
                     return;
@@ -579,12 +581,12 @@
                 self.hosts[at].edit().unsynced.push((write, record));
             }
             Output::Apply(entry) => self.apply(&entry),
-            Output::Restore { index, image: held } => {
-                if held != image(&self.history.applied, index) {
-                    self.violate("a snapshot differs from what was applied");
+            Output::Restore { index, snapshot } => {
+                if snapshot != state_snapshot(&self.history.applied, index) {
+                    self.record_violation("a snapshot differs from what was applied");
                 }
             }
-            Output::Placed { .. } | Output::Rejected { .. } | Output::Resigned { .. } => {}
+            Output::Appended { .. } | Output::Rejected { .. } | Output::Resigned { .. } => {}
         }
     }
 
@@ -592,11 +594,11 @@
         let at = entry.index as usize - 1;
         match self.history.applied.get(at) {
             Some(known) if known == entry => {}
-            Some(_) => self.violate("two entries were applied at one index"),
+            Some(_) => self.record_violation("two entries were applied at one index"),
             None if at == self.history.applied.len() => {
                 self.history.edit().applied.push(entry.clone());
             }
-            None => self.violate("an index was skipped"),
+            None => self.record_violation("an index was skipped"),
         }
     }
 
@@ -624,12 +626,13 @@
         self.step(at, Input::Tick, false);
     }
 
-    /// Delivers everything in order until nothing is under way; entries may be lost instead.
+    /// Delivers all messages in order until none is in flight. Unless `entries` is set, append
+    /// messages are lost.
     fn settle(&mut self, entries: bool) {
         while !self.network.is_empty() {
             let packet = Packet::clone(&self.network.remove(0));
             let lost = matches!(packet.message, Message::Append { .. }) && !entries;
-            let Some(at) = self.find(packet.to).filter(|_| !lost) else {
+            let Some(at) = self.host_index(packet.to).filter(|_| !lost) else {
                 continue;
             };
             let Packet { from, message, .. } = packet;
@@ -637,15 +640,15 @@
         }
     }
 
-    /// Sorts the messages, for their order doesn't matter, and drops those that can't do anything
-    /// any more but tell a term.
-    fn tidy(&mut self) {
-        // A host that may yet lose its disk may yet take what it has left behind.
-        let wipes = self.left.wipes > 0;
+    /// Sorts the messages, since their order doesn't matter, and drops those that can't have any
+    /// effect any more beyond announcing a term.
+    fn normalize(&mut self) {
+        // A host that may still lose its disk may then accept messages of terms that it has left.
+        let disk_losses = self.remaining.disk_losses > 0;
         let hosts = std::mem::take(&mut self.hosts);
         let host = |id| hosts.iter().find(|h| h.node.id() == id);
         self.network.retain(|p| match (host(p.from), host(p.to)) {
-            (Some(from), Some(to)) => wipes || is_alive(&p.message, from, to),
+            (Some(from), Some(to)) => disk_losses || may_have_effect(&p.message, from, to),
             _ => false,
         });
         self.hosts = hosts;
@@ -654,20 +657,20 @@
         self.history.seal();
     }
 
-    /// Checks a host that has just stepped.
-    fn watch(&mut self, at: usize) {
+    /// Checks the invariants for a host that has just stepped.
+    fn check_host(&mut self, at: usize) {
         let host = self.hosts[at].clone();
         if host.node.is_leader() {
-            self.watch_leader(&host.node);
+            self.check_leader(&host.node);
         }
         for other in self.hosts.clone() {
             if !logs_match(&host.node, &other.node) {
-                self.violate("two logs differ before an equal entry");
+                self.record_violation("two logs differ before an equal entry");
             }
         }
     }
 
-    fn watch_leader(&mut self, node: &Node) {
+    fn check_leader(&mut self, node: &Node) {
         let pair = (node.term(), node.id());
         let known = self
             .history
@@ -676,7 +679,7 @@
             .find(|(term, _)| *term == pair.0);
         match known {
             Some(known) if *known == pair => {}
-            Some(_) => self.violate("two leaders in a term"),
+            Some(_) => self.record_violation("two leaders in a term"),
             None => self.history.edit().leaders.push(pair),
         }
         let last = node.last().index;
@@ -686,11 +689,11 @@
         };
         let newest = self.history.leaders.iter().all(|(term, _)| *term <= pair.0);
         if newest && !self.history.applied.iter().all(holds) {
-            self.violate("a leader lacks a committed entry");
+            self.record_violation("a leader lacks a committed entry");
         }
     }
 
-    fn violate(&mut self, what: &'static str) {
+    fn record_violation(&mut self, what: &'static str) {
         self.history.edit().violation.get_or_insert(what);
     }
 
@@ -700,25 +703,25 @@
             return Some("two leases at once");
         }
         let leads = |term| self.hosts[0].node.is_leader() && self.hosts[0].node.term() == term;
-        if self.steady.is_some_and(|term| !leads(term)) {
+        if self.kept_term.is_some_and(|term| !leads(term)) {
             return Some("a leader with a quorum was deposed");
         }
         self.history.violation
     }
 }
 
-/// Whether a message can still do something. Answers die when their receiver has left the term on
-/// disk or doesn't lead or ask any more; requests when both ends have left it.
-fn is_alive(message: &Message, from: &Host, to: &Host) -> bool {
+/// Whether a message can still have an effect. An answer can't once its receiver has left the term
+/// on disk, or no longer leads or campaigns; a request can't once both ends have left the term.
+fn may_have_effect(message: &Message, from: &Host, to: &Host) -> bool {
     match *message {
         Message::VoteReply { term, granted } => {
             term > to.node.term() || (granted && term >= to.disk.term && !to.node.is_leader())
         }
-        // An answer that says nothing new now never will: what a leader knows only grows.
-        Message::AppendReply { term, verdict, .. } => {
+        // An answer without news never has any later: what a leader knows only grows.
+        Message::AppendReply { term, outcome, .. } => {
             let leads = term == to.node.term() && to.node.is_leader();
-            let matched = matches!(verdict, Verdict::Matched(_));
-            term > to.node.term() || (leads && !(matched && is_known(message, from, to)))
+            let matched = matches!(outcome, AppendOutcome::Matched(_));
+            term > to.node.term() || (leads && !(matched && has_no_effect(message, from, to)))
         }
         Message::PreVoteReply { term, granted, .. } => granted && term > to.disk.term,
         Message::Append { term, .. } | Message::Vote { term, .. } => {
@@ -728,8 +731,8 @@
     }
 }
 
-/// Whether a message changes nothing at its receiver.
-fn is_known(message: &Message, from: &Host, to: &Host) -> bool {
+/// Whether a message changes nothing at its receiver and makes it send nothing.
+fn has_no_effect(message: &Message, from: &Host, to: &Host) -> bool {
     let mut node = to.node.clone();
     let (from, message) = (from.node.id(), message.clone());
     node.step(to.clock, Input::Receive { from, message })
@@ -737,8 +740,8 @@
         && node == to.node
 }
 
-/// The state machine's image: what it applied, in short.
-fn image(applied: &[Entry], index: Index) -> Payload {
+/// The state machine's snapshot: a digest of what it applied.
+fn state_snapshot(applied: &[Entry], index: Index) -> Payload {
     let applied = applied.iter().filter(|e| e.index <= index);
     let bytes = applied.flat_map(|e| match &e.content {
         Content::Command(payload) => vec![e.term as u8, payload[0]],
@@ -748,7 +751,7 @@
     Payload::from(bytes.collect::<Vec<_>>())
 }
 
-/// Whether two logs are equal up to any entry that they share.
+/// Whether two logs are equal up to each entry that they share.
 fn logs_match(a: &Node, b: &Node) -> bool {
     let last = a.last().index.min(b.last().index);
     let mut shared = false;
--- a/tests/consensus/random.rs
+++ b/tests/consensus/random.rs
@@ -1,4 +1,4 @@
-//! Long random runs against a naive log of one copy.
+//! Long random runs, compared with a reference log that has one copy.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,49 +14,49 @@
 const SECOND: Duration = Duration::from_secs(1);
 const VOTERS: [NodeId; 3] = [1, 2, 3];
 const NODES: NodeId = 6;
-/// Room in the directory for replacements of voters.
-const PLACES: NodeId = 40;
+/// The directory's size: room for the nodes that replace voters.
+const DIRECTORY_SIZE: NodeId = 40;
 
-/// Three voters in as many data centres, three followers in a fourth.
-fn place(id: NodeId, protections: &Protections) -> Config {
+/// Three voters in three data centres, three learners in a fourth.
+fn node_config(id: NodeId, protections: &Protections) -> Config {
     let places = ["graz", "linz", "wels"];
     let config = config(id, &VOTERS)
         .disk(id <= 3 || id > NODES)
         .chunk(300)
         .protections(protections.clone());
-    (1..=PLACES).fold(config, |config, node| {
-        config.place(
+    (1..=DIRECTORY_SIZE).fold(config, |config, node| {
+        config.location(
             node,
             places.get(node as usize - 1).copied().unwrap_or("enns"),
         )
     })
 }
 
-/// One run for each. Those with a story are named at the test.
+/// The seeds, one run for each. Those that found a fault are named at the test.
 fn seeds() -> impl Iterator<Item = u64> {
     (0..20).chain([71])
 }
 
-/// A world in which something happens at nearly every tick, and the changes it took.
+/// A simulated cluster in which something happens at nearly every tick.
 struct Run {
     world: World,
     rng: Pcg64,
     proposals: u64,
-    /// Hosts whose disk is lost; they don't come back.
+    /// Hosts whose disk is lost; they are never started again.
     lost: BTreeSet<NodeId>,
-    /// The voter to replace and the host that replaces it.
+    /// The voter that is being replaced, and the host that replaces it.
     replacing: Option<(NodeId, NodeId)>,
     protections: Protections,
 }
 
 impl Run {
     fn new(seed: u64, protections: &Protections) -> Self {
-        let mut world = World::new((1..=NODES).map(|id| place(id, protections)).collect());
+        let mut world = World::new((1..=NODES).map(|id| node_config(id, protections)).collect());
         world.rng = Pcg64::seed_from_u64(seed);
         world.loss = 0.05;
-        world.twice = 0.05;
+        world.duplication = 0.05;
         world.jitter = Duration::from_millis(30);
-        world.sync = Duration::from_millis(40);
+        world.sync_delay = Duration::from_millis(40);
         let rng = Pcg64::seed_from_u64(seed + 1000);
         let (lost, protections) = (BTreeSet::new(), protections.clone());
         Self {
@@ -69,7 +69,7 @@
         }
     }
 
-    fn host(&mut self) -> NodeId {
+    fn random_host(&mut self) -> NodeId {
         let ids: Vec<_> = self.world.hosts.keys().collect();
         *ids[self.rng.random_range(0..ids.len())]
     }
@@ -79,8 +79,8 @@
         Some(self.world.node(leader).voters().to_vec())
     }
 
-    /// A voter loses its disk for good and a new host comes up.
-    fn lose(&mut self) {
+    /// A voter loses its disk for good, and a new host starts.
+    fn lose_voter_disk(&mut self) {
         let Some(voters) = self.voters().filter(|_| self.replacing.is_none()) else {
             return;
         };
@@ -88,12 +88,12 @@
         let new = *self.world.hosts.last_key_value().unwrap().0 + 1;
         self.world.crash(old);
         self.lost.insert(old);
-        self.world.add(place(new, &self.protections));
+        self.world.add(node_config(new, &self.protections));
         self.replacing = Some((old, new));
     }
 
-    /// What an operator does after that: remove the old voter, then add the new one.
-    fn replace(&mut self) {
+    /// Replaces the lost voter as an operator would: removes the old voter, then adds the new one.
+    fn replace_lost_voter(&mut self) {
         let Some((old, new)) = self.replacing else {
             return;
         };
@@ -119,7 +119,7 @@
     }
 
     fn disturb(&mut self) {
-        let id = self.host();
+        let id = self.random_host();
         let running = self.world.hosts[&id].node.is_some();
         let lost = self.lost.contains(&id);
         match self.rng.random_range(0..400) {
@@ -127,24 +127,24 @@
             4..=30 if !running && !lost => self.world.start(id),
             31..=32 => self.world.isolate(id),
             33..=34 => {
-                let to = self.host();
+                let to = self.random_host();
                 self.world.cut(&[id], &[to]);
             }
             35..=39 => self.world.heal(),
             40 => self.world.input(id, Input::HandOver { to: None }),
             41..=43 if running => self.world.compact(id),
             44 => (1..=NODES + 5).for_each(|id| self.world.crash(id)),
-            45 if self.rng.random_bool(0.3) => self.lose(),
+            45 if self.rng.random_bool(0.3) => self.lose_voter_disk(),
             46..=150 => {
                 self.proposals += 1;
                 self.world.propose(id, self.proposals);
             }
-            151..=160 => self.replace(),
+            151..=160 => self.replace_lost_voter(),
             _ => {}
         }
     }
 
-    fn go(&mut self, time: Duration) {
+    fn play(&mut self, time: Duration) {
         let end = self.world.now + time;
         while self.world.now < end {
             self.disturb();
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Mends everything and lets it come to rest.
-    fn rest(&mut self) {
+    /// Repairs all faults and lets the cluster settle.
+    fn recover(&mut self) {
         self.world.heal();
         self.world.loss = 0.0;
         let ids: Vec<_> = self.world.hosts.keys().copied().collect();
@@ -165,7 +165,7 @@
         }
         for _ in 0..20 {
             self.world.run(SECOND);
-            self.replace();
+            self.replace_lost_voter();
         }
         assert_eq!(self.replacing, None);
         self.world.commit(u64::MAX);
@@ -173,16 +173,16 @@
     }
 }
 
-// Found so far: parts of two sources' snapshots undid each other (seed 5); an empty follower asked
-// hosts that don't exist over and over (0); one whose known voters were all replaced asked nobody
-// else (71).
+// Faults found so far: chunks of two sources' snapshots undid each other (seed 5). An empty learner
+// asked hosts that don't exist again and again (seed 0). A learner asked no other node after all
+// voters that it knew were replaced (seed 71).
 #[test]
-fn random_runs_equal_a_naive_log() {
+fn random_runs_match_the_reference_log() {
     let (mut committed, mut restored, mut replaced) = (0, 0, 0);
     for seed in seeds() {
         let mut run = Run::new(seed, &Protections::default());
-        run.go(SECOND * 60);
-        run.rest();
+        run.play(SECOND * 60);
+        run.recover();
         let world = &run.world;
         let log: Vec<_> = world.history.values().cloned().collect();
         let kept = world.hosts.iter().filter(|(id, _)| !run.lost.contains(id));
@@ -201,7 +201,7 @@
         assert_eq!(
             refused.filter(|p| unique.contains(p)).count(),
             0,
-            "refused is not run"
+            "a rejected change is never committed"
         );
         committed += commands.len();
         replaced += run.lost.len();
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn random_runs_notice_a_disk_that_is_not_synced() {
+fn random_runs_detect_a_disk_that_is_not_synced() {
     let weak = Protections {
         sync: false,
         ..Protections::default()
@@ -219,18 +219,19 @@
     let noticed = seeds().any(|seed| {
         let run = || {
             let mut run = Run::new(seed, &weak);
-            run.go(SECOND * 60);
-            run.rest();
+            run.play(SECOND * 60);
+            run.recover();
         };
         let panic = std::panic::catch_unwind(run).err();
         let text = panic.and_then(|p| p.downcast::<String>().ok());
-        text.is_some_and(|text| text.contains("one entry an index"))
+        text.is_some_and(|text| text.contains("one entry per index"))
     });
     assert!(noticed);
 }
 
-/// Plays a run; how often a node that answers callers lacked a change that was confirmed.
-fn outdated(seed: u64, answers: impl Fn(&Node, Now) -> bool) -> usize {
+/// Plays a run and counts how often a node that would answer callers lacked a change that was
+/// already confirmed.
+fn count_outdated_answers(seed: u64, answers: impl Fn(&Node, Now) -> bool) -> usize {
     let mut run = Run::new(seed, &Protections::default());
     let end = run.world.now + SECOND * 60;
     let mut count = 0;
@@ -255,18 +256,18 @@
     count
 }
 
-/// What a key allows is decided by the leader's last change alone, so a key that was taken away, and confirmed
-/// so, must not be served by any node: neither by a former leader behind a cut, nor by a new one.
+/// Only the leader's last change decides what a key allows. So once it is confirmed that a key was
+/// taken away, no node may serve that key: neither a former leader behind a cut link nor a new one.
 #[test]
-fn whoever_may_answer_knows_every_change_that_was_confirmed() {
+fn a_leader_with_a_lease_has_applied_every_confirmed_change() {
     let holds = |node: &Node, now| node.lease_until().is_some_and(|until| now < until);
     for seed in seeds() {
-        assert_eq!(outdated(seed, holds), 0, "seed {seed}");
+        assert_eq!(count_outdated_answers(seed, holds), 0, "seed {seed}");
     }
 }
 
-/// The check above notices leaders that answer without a lease.
+/// The check above detects leaders that answer without a lease.
 #[test]
-fn without_a_lease_a_former_leader_answers_by_what_was_changed() {
-    assert!(seeds().any(|seed| outdated(seed, |node, _| node.is_leader()) > 0));
+fn without_a_lease_a_former_leader_answers_from_old_state() {
+    assert!(seeds().any(|seed| count_outdated_answers(seed, |node, _| node.is_leader()) > 0));
 }
--- a/tests/consensus/replication.rs
+++ b/tests/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Changes reach all nodes, in one order, and only once they are safe.
+//! Changes reach all nodes in one order, and only once they are durable on a majority.
 
 use std::time::Duration;
 
@@ -9,23 +9,27 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn changes_reach_voters_and_followers_in_one_order() {
+fn changes_reach_voters_and_learners_in_one_order() {
     let voters = [1, 2, 3];
     let configs = (1..=6).map(|id| {
         let places = (1..=6).fold(config(id, &voters), |c, n| {
-            c.place(n, if n <= 3 { "north" } else { "south" })
+            c.location(n, if n <= 3 { "north" } else { "south" })
         });
         places.disk(id <= 3)
     });
     let mut world = World::new(configs.collect());
     let leader = world.elect();
-    // Relays that knew nothing before the first election are tried again after a while.
+    // Relays that had no contact with a leader before the first election are tried again after a
+    // while.
     world.run(SECOND * 5);
     for proposal in 0..100 {
         world.propose(leader, proposal);
     }
-    let placed = |a: &Output| matches!(a, Output::Placed { .. });
-    assert_eq!(world.answers.iter().filter(|(_, a)| placed(a)).count(), 100);
+    let appended = |a: &Output| matches!(a, Output::Appended { .. });
+    assert_eq!(
+        world.answers.iter().filter(|(_, a)| appended(a)).count(),
+        100
+    );
     world.run(SECOND);
     for id in 1..=6 {
         assert_eq!(
@@ -43,7 +47,7 @@
 fn nothing_commits_before_it_is_synced_at_a_quorum() {
     let mut world = World::voters(3);
     let leader = world.elect();
-    world.sync = SECOND;
+    world.sync_delay = SECOND;
     world.propose(leader, 7);
     world.run(SECOND / 2);
     assert!(world.commands(leader).is_empty());
@@ -52,7 +56,7 @@
 }
 
 #[test]
-fn an_entry_of_a_deposed_leader_gives_way() {
+fn an_uncommitted_entry_of_a_deposed_leader_is_replaced() {
     let mut world = World::voters(3);
     let old = world.elect();
     world.isolate(old);
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -94,7 +94,7 @@
 
 fn voter() -> Vec<Record> {
     vec![
-        Record::Standing { voting: true },
+        Record::Eligibility { voting: true },
         Record::Ballot {
             term: 1,
             vote: Some(1),
@@ -124,7 +124,7 @@
         index: INDEX,
         term: 1,
         voters: vec![1],
-        image,
+        data: image,
     });
     records
 }
