--- a/src/manager/ask.rs
+++ b/src/manager/ask.rs
@@ -1,4 +1,4 @@
-//! What may be asked of the leader, and what it answers.
+//! The requests that the leader answers, and its replies.
 
 use std::time::Duration;
 
@@ -15,23 +15,23 @@
     },
 };
 
-/// Something asked of the leader.
+/// A request to the leader.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Ask {
     /// A caller's request.
     Call(Call),
-    /// Put a catalog in force.
+    /// Puts a catalog in force.
     Declare(Document),
-    /// The catalog in force.
+    /// Reads the catalog in force.
     ReadCatalog,
-    /// An agent lives.
+    /// A heartbeat of an agent.
     Beat(Box<Beat>),
-    /// The agent of a name ends.
+    /// The agent with this name is about to end.
     Leave(Name),
-    /// Begin a wave of maintenance.
+    /// Starts a wave of maintenance.
     BeginWave(WaveRecord),
-    /// How far a wave is.
+    /// Reads whether a wave is complete.
     WaveState(WaveId),
 }
 
@@ -43,27 +43,27 @@
     pub host: Name,
     /// The path.
     pub path: Name,
-    /// What is wanted of what the path names.
+    /// The action on what the path names.
     pub verb: Verb,
-    /// The key that the caller showed. Entry nodes of earlier releases pass none on.
+    /// Digest of the key that the caller presented. Entry nodes of earlier releases send none.
     #[serde(default)]
     pub key: Option<KeyDigest>,
 }
 
-/// What a caller wants.
+/// What a caller wants to do.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Verb {
-    /// Submit a job.
+    /// Submits a job.
     Submit(Box<JobSpec>),
-    /// A job's state, or how many jobs of a queue wait.
+    /// Reads a job's state, or the number of pending jobs of a queue.
     Look,
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel,
 }
 
 impl Verb {
-    /// The word in logs.
+    /// The name of the action in logs.
     pub fn word(&self) -> &'static str {
         match self {
             Self::Submit(_) => "submit",
@@ -73,76 +73,76 @@
     }
 }
 
-/// A sign of life of an agent.
+/// A heartbeat of an agent.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Beat {
-    /// What it says of itself.
+    /// The agent's description of itself.
     pub agent: AgentRecord,
-    /// Its clock.
+    /// The agent's clock when it sent the heartbeat.
     pub clock: AgentTime,
 }
 
-/// What the leader answers.
+/// The leader's reply.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Reply {
-    /// It is done, and will not be lost.
+    /// The request is committed and can't be lost.
     Done,
     /// A job's state.
     State(JobState),
-    /// How many jobs of a queue wait for their first task to be started.
+    /// The number of a queue's jobs whose first task hasn't been started.
     Pending(u64),
     /// The catalog in force.
     Catalog(CatalogText),
-    /// Whether a wave is through.
+    /// The state of a wave.
     Wave {
-        /// Whether it is.
+        /// Whether the wave is complete.
         through: bool,
     },
-    /// There is no such thing.
+    /// The object that the request names doesn't exist.
     Unknown(Unknown),
-    /// The queue asks for a key, and no workspace has the one that was shown, if any was.
+    /// The queue requires a key, and the caller presented none or one that belongs to no workspace.
     Denied,
-    /// It can't be done as it was asked, ever; nothing was.
+    /// The request can never be carried out as it stands. Nothing was changed.
     Invalid(String),
-    /// It was not done; come back.
+    /// The request wasn't carried out and may be retried.
     Refused(Refused),
-    /// It may have been done, or may yet be.
+    /// The request may have been carried out, or may be carried out later.
     Unclear,
 }
 
-/// What isn't there.
+/// The object that a request names and that doesn't exist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum Unknown {
-    /// No queue has that host and path.
+    /// No queue has this host and path.
     Queue,
     /// The queue has no such job.
     Job,
-    /// There is no such wave.
+    /// No wave has this id.
     Wave,
 }
 
-/// Why something was not done.
+/// Why a request wasn't carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum Refused {
-    /// The node that was asked doesn't lead; who does, if it knows.
+    /// The node that was asked isn't the leader. Holds the leader if the node knows it.
     NotLeader(Option<NodeId>),
     /// No leader was found.
     NoLeader,
-    /// There is no catalog yet.
+    /// No catalog has been declared yet.
     NoCatalog,
-    /// The leader's log is full or its disk is.
+    /// The leader's log or its disk is full.
     Overloaded,
-    /// Jobs of the queue end the hosts that run them, and so many wait that this one couldn't be tried in
-    /// time; when those will be through.
+    /// The queue's jobs crash the hosts that run them, and so many of them are waiting that this
+    /// job couldn't be tried in time. Holds the time until the waiting jobs are done.
     Storm(Duration),
 }
 
 impl Refused {
-    /// The word in logs and metrics.
+    /// The name of the reason in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Self::NotLeader(_) => "not_leader",
@@ -153,7 +153,8 @@
         }
     }
 
-    /// When to come back: after an election, after the log's next round, or once what waits is through.
+    /// When to retry: after an election, after the next round of the log, or when the waiting jobs
+    /// are done.
     pub fn comeback(self) -> Duration {
         match self {
             Self::NotLeader(_) | Self::NoLeader | Self::NoCatalog => Duration::from_secs(1),
--- a/src/manager/cluster.rs
+++ b/src/manager/cluster.rs
@@ -1,10 +1,12 @@
-//! How a control node learns its cluster, and keeps it.
+//! How a control node learns the cluster id and stores it.
 //!
-//! Nothing is agreed before the first election, so the first leader makes the id: it proposes one
-//! as soon as every voter is linked and has said which folder it has. The log carries it to all,
-//! and each keeps it in a file of its own too, so that a restarted node knows it before it hears
-//! anybody. Nodes of earlier releases say no folder, so the id is made once the last of them is
-//! gone; they couldn't read the entry.
+//! Nothing is committed before the first election, so the first leader creates the id. It proposes
+//! the id as soon as it is linked with every voter and each of them has sent the id of its data
+//! folder. The log replicates the cluster id to all control nodes. Each node also saves it in a
+//! file of its own, so that a restarted node knows its cluster before it hears from any peer.
+//!
+//! Nodes of earlier releases send no folder id and can't decode the log entry, so the cluster id is
+//! created only once none of them is left.
 
 use std::{
     fs,
@@ -26,38 +28,38 @@
     workload::command::Command,
 };
 
-/// The file that holds the cluster.
+/// The file in the data folder that holds the cluster.
 const FILE: &str = "cluster";
-/// From one proposal of an id to the next, until one is applied, and from one try to keep it to the
-/// next.
+/// Time between two proposals of a cluster id until one is applied, and between two attempts to
+/// save it.
 const PAUSE: Now = Now::from_secs(2);
 
-/// How far the keeping of the cluster is.
+/// Whether the cluster is saved in the data folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kept {
-    /// It isn't known yet, or keeping it failed and may be tried again then.
+    /// The cluster isn't known yet, or saving it failed and is retried.
     No {
-        /// When.
+        /// The earliest time of the next attempt.
         due: Now,
     },
-    /// It is being written.
+    /// The file is being written.
     UnderWay,
-    /// It is on the disk.
+    /// The file is on the disk.
     Yes,
 }
 
 impl Kept {
-    /// Whether the cluster should be kept now, once it is known.
+    /// Whether to save the cluster now, provided that it is known.
     pub(super) fn is_due(self, now: Now) -> bool {
         matches!(self, Self::No { due } if now >= due)
     }
 }
 
-/// Reads the cluster that a data folder belongs to, if it knows.
+/// Reads the cluster that a data folder belongs to, if the folder has one.
 ///
 /// # Errors
 ///
-/// The file can't be read, or holds something else.
+/// The file can't be read, or its content isn't a cluster.
 pub fn recall(folder: &Path) -> Result<Option<Cluster>, IdentityError> {
     let path = folder.join(FILE);
     let text = match fs::read(&path) {
@@ -76,11 +78,14 @@
 /// The file can't be written.
 pub fn keep(folder: &Path, cluster: &Cluster) -> Result<(), IdentityError> {
     let path = folder.join(FILE);
-    let text = serde_json::to_string(cluster).expect("numbers and lists are written always");
+    let text = serde_json::to_string(cluster).expect("a cluster can always be serialized");
     identity::keep(folder, &path, &text).context(AccessSnafu { path })
 }
 
-/// The founders of a cluster that these nodes would make, if each of them has said its folder.
+/// Returns the founders of a new cluster, one for each voter.
+///
+/// Returns `None` unless every voter and every other control node has reported the id of its data
+/// folder.
 ///
 /// ```
 /// use egretpin::manager::cluster::founders;
@@ -109,7 +114,8 @@
 }
 
 impl Task {
-    /// Proposes an id of the cluster, if this node leads one that has none and all can read it.
+    /// Proposes a cluster id if this node leads a cluster that has none and every control node can
+    /// decode the entry.
     pub(super) fn found(&mut self, now: Now) {
         let due = self.found_due.is_none_or(|due| now >= due);
         if !due || self.ledger.cluster().is_some() {
@@ -129,22 +135,23 @@
         };
         self.found_due = Some(now + PAUSE);
         let cluster = self.told().unwrap_or_else(|| Cluster {
-            // The standard hasher's keys come from the system's randomness.
+            // The keys of the standard hasher come from the system's random number generator.
             id: RandomState::new().hash_one(&founders),
             founders,
         });
-        log::info!(cluster = cluster.id; "the cluster gets its id");
+        log::info!(cluster = cluster.id; "proposing a cluster id");
         self.propose(Asker::Nobody, Command::Found(cluster));
     }
 
-    /// The cluster that another voter says. A node of an earlier release may have been fed an image
-    /// and passed over the id in it; as the leader of a later release it must not make another one.
+    /// The cluster that another voter reports. A node of an earlier release may have skipped the id
+    /// while it restored a snapshot. When that node leads with a later release, it must propose the
+    /// same id, not a second one.
     fn told(&self) -> Option<Cluster> {
         let said = |node: &NodeId| self.ports.mesh.said(*node)?.cluster;
         self.node.voters().iter().find_map(said)
     }
 
-    /// Takes the cluster that the ledger names, and keeps it.
+    /// Adopts the cluster that the ledger names, and saves it.
     pub(super) fn join(&mut self) {
         let Some(cluster) = self.ledger.cluster().cloned() else {
             return;
@@ -152,7 +159,7 @@
         self.ports.mesh.join(cluster.clone());
         let held = self.ports.mesh.claim().cluster;
         if held.as_ref().is_some_and(|held| held.id != cluster.id) {
-            let why = "the log is of another cluster than the data folder; empty the data folder";
+            let why = "the log belongs to another cluster than the data folder; empty the data folder";
             return self.fail(why.to_owned());
         }
         let Some(inbox) = self.sender.upgrade() else {
@@ -163,20 +170,20 @@
         }
         self.kept = Kept::UnderWay;
         let folder = self.folder.clone();
-        // A slow disk must not hold up the task.
+        // Runs on a thread of its own, so that a slow disk doesn't block the control task.
         tokio::task::spawn_blocking(move || {
             let kept = keep(&folder, &cluster).map_err(|error| error.to_string());
-            // A task that has ended needs no answer.
+            // The send fails only when the control task has ended.
             let _ = inbox.blocking_send(Input::Kept(kept).into());
         });
     }
 
-    /// The cluster was kept, or not; then it is tried again.
+    /// Records the result of saving the cluster; schedules a retry if it failed.
     pub(super) fn kept(&mut self, kept: Result<(), String>) {
         self.kept = match kept {
             Ok(()) => Kept::Yes,
             Err(error) => {
-                log::error!(error; "the cluster's id can't be kept");
+                log::error!(error; "failed to save the cluster id; it will be tried again");
                 let due = self.now() + PAUSE;
                 Kept::No { due }
             }
--- a/src/manager/control.rs
+++ b/src/manager/control.rs
@@ -1,8 +1,9 @@
-//! The task of a control node: consensus, the ledger and, while it leads, the scheduler.
+//! The main task of a control node. It runs consensus, the ledger and, while the node leads, the
+//! scheduler.
 //!
-//! One task owns all three, so that an entry is applied, told to the scheduler and answered in one
-//! step. Whatever came in while it was busy is taken in together and its writes go to the disk
-//! together: the busier the leader, the larger the groups.
+//! One task owns all three, so that it applies an entry, notifies the scheduler and sends the reply
+//! in one step. Each turn handles the inputs that arrived during the previous one and hands their
+//! disk writes over together. The busier the leader, the larger the batches.
 
 use std::{path::PathBuf, sync::Arc, time::Duration};
 
@@ -39,48 +40,51 @@
     },
 };
 
-/// How often the timers of consensus and the scheduler are looked at. Each wake-up costs; a fifth
-/// of the heartbeat keeps elections and renewals in time.
+/// Interval at which the timers of consensus and the scheduler are checked. Each wake-up costs
+/// processor time. A fifth of the heartbeat interval is short enough for timely elections and lease
+/// renewals.
 const TICK: Duration = Duration::from_millis(20);
-/// Events that wait for the task before new ones are dropped; who sent them asks again.
+/// Inputs that may wait for the task. Further ones are dropped, and their senders retry.
 const INBOX: usize = 16_384;
-/// Events taken in before their writes go to the disk.
+/// Inputs handled in one turn before their writes go to the disk.
 const BATCH: usize = 256;
-/// Entries after which a snapshot is taken.
+/// Number of applied entries after which a snapshot is taken.
 const COMPACT: Index = 8192;
-/// Bytes of entries after which one is taken however few they are: an eighth of the smallest disk.
+/// Size of the applied entries after which a snapshot is taken, however few there are. An eighth of
+/// the smallest disk.
 const COMPACT_BYTES: usize = 16 << 20;
-/// From one view of the cluster to the next, unless something changed: of the leader, which entry
-/// nodes must know to be there, and of the others.
+/// Time between two broadcasts of the view if nothing changed: for the leader, whose presence entry
+/// nodes must notice, and for the other control nodes.
 pub(super) const VIEW: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(1));
-/// From one look at the voters to the next.
+/// Time between two checks of peers and voters.
 pub(super) const TEND: Duration = Duration::from_millis(200);
-/// The least silence after which a voter counts as lost: an election, in which nobody is heard.
+/// Lower bound of the time without contact after which a voter counts as lost. No voter is in
+/// contact during an election.
 const LEAST_SILENCE: Duration = Duration::from_secs(1);
-/// How long a stopping node waits for another to lead and to vote in its place: an election and two
-/// changes of the voters.
+/// How long a stopping node waits for another node to lead and to vote in its place. Enough for an
+/// election and two changes of the voters.
 const LEAVE: Duration = Duration::from_millis(2500);
 
-/// An event of the task.
+/// An input of the control task.
 pub(super) enum Input {
     Frame(NodeId, Frame),
     Disk(DiskEvent),
     Ask(Ask, oneshot::Sender<Reply>),
-    /// An order of this node's was answered.
+    /// The answer to an order that this node sent as the leader.
     Answered(OrderId, u64, Answer),
-    /// An order that was carried for a leader was answered.
+    /// The answer to an order that this node executed as a relay.
     Carried {
         leader: NodeId,
         tenure: u64,
         order: OrderId,
         answer: Answer,
     },
-    /// The cluster was written to the data folder, or why not.
+    /// The result of writing the cluster to the data folder.
     Kept(Result<(), String>),
     Leave,
 }
 
-/// An event, and when it came.
+/// An input and the time of its arrival.
 pub(super) struct Queued {
     came: Instant,
     input: Input,
@@ -95,32 +99,32 @@
     }
 }
 
-/// Speaks to the task, which ends when every handle is gone.
+/// A handle to the control task. The task ends when all handles are dropped.
 #[derive(Clone)]
 pub struct Control(mpsc::Sender<Queued>);
 
 impl Control {
-    /// Asks; what can't be asked in time is refused.
+    /// Sends a request to the task. Refuses it as overloaded if the inbox is full.
     pub async fn ask(&self, ask: Ask) -> Reply {
         let (reply, answer) = oneshot::channel();
         match self.0.try_send(Input::Ask(ask, reply).into()) {
-            // A task that ended may have proposed it.
+            // If the task ends without a reply, it may have proposed the command.
             Ok(()) => answer.await.unwrap_or(Reply::Unclear),
             Err(_) => Reply::Refused(Refused::Overloaded),
         }
     }
 
-    /// Hands over what the mesh brought; lost if the task is too far behind.
+    /// Passes on a message from the mesh. Drops it if the inbox is full.
     pub fn frame(&self, from: NodeId, frame: Frame) {
-        // Peers repeat what matters.
+        // Peers repeat the messages that matter.
         let _ = self.0.try_send(Input::Frame(from, frame).into());
     }
 
-    /// Gives up leadership and vote, and waits a while for others to take them, so that a node
-    /// which doesn't come back isn't missed.
+    /// Gives up leadership and the vote, and waits up to a limit for other nodes to take them over,
+    /// so that the cluster doesn't depend on a node which may not come back.
     pub async fn leave(&self, mut seat: watch::Receiver<Seat>, me: NodeId, limit: Duration) {
         let free = async {
-            // A task that has ended leads and votes no more.
+            // If the task has ended, it neither leads nor votes.
             if self.0.send(Input::Leave.into()).await.is_err() {
                 return;
             }
@@ -128,25 +132,25 @@
                 let led = seat.leader.is_some_and(|leader| leader != me);
                 seat.leaving && led && !(seat.votes && seat.spare)
             });
-            // The same if it ends meanwhile.
+            // An error means that the task has ended meanwhile, which is as good.
             drop(free.await);
         };
-        // Whether or not others were found, this process ends.
+        // The process ends even if no other node was found.
         let _ = tokio::time::timeout(limit.min(LEAVE), free).await;
     }
 }
 
-/// Starts the task.
+/// Starts the control task.
 ///
 /// # Errors
 ///
-/// The disk's thread can't be started.
+/// The disk thread can't be started.
 pub fn spawn(config: Config, ports: Ports) -> std::io::Result<Control> {
     let (sender, inbox) = mpsc::channel(INBOX);
     let weak = sender.downgrade();
     let disk = disk::spawn(config.disk, move |event| {
         if let Some(inbox) = weak.upgrade() {
-            // The task takes events in for as long as it runs.
+            // The send fails only when the task has ended.
             let _ = inbox.blocking_send(Input::Disk(event).into());
         }
     })?;
@@ -201,39 +205,40 @@
     Ok(Control(sender))
 }
 
-/// A job that is being committed.
+/// A job whose submission is proposed and not applied yet.
 #[derive(Debug)]
 pub(super) struct Submitting {
-    /// The workspace that it is of.
+    /// The workspace that the job belongs to.
     pub(super) workspace: Option<WorkspaceId>,
-    /// Those who wait besides the first.
+    /// Requesters of the same job besides the first.
     pub(super) waiting: Vec<Asker>,
 }
 
-/// The state of the task.
+/// The state of the control task.
 pub(super) struct Task {
     epoch: Instant,
     pub(super) node: Node,
     pub(super) ledger: Ledger,
-    /// The catalog in force, as far as this node had to read it.
+    /// The decoded catalog in force; `None` until this node needs it.
     pub(super) catalog: Option<Arc<Catalog>>,
-    /// Present while this node leads.
+    /// The scheduler; present while this node leads.
     pub(super) scheduler: Option<Scheduler>,
-    /// Since when this node leads.
+    /// When this node last became leader.
     pub(super) led: Now,
-    /// Counts the times that this node led: answers to orders of an earlier time are void.
+    /// How many times this node has become leader. Answers to orders of an earlier tenure are
+    /// ignored.
     tenure: u64,
     pub(super) waiting: Waiting,
-    /// Jobs that are being committed.
+    /// Jobs whose submissions are proposed and not applied yet.
     pub(super) submitting: Map<u64, Submitting>,
     pub(super) members: Members,
-    /// Control nodes that have said that they carry orders.
+    /// Control nodes that have announced that they execute orders as relays.
     pub(super) carriers: Set<NodeId>,
-    /// Those that carry this node's orders.
+    /// The relays of this node's orders while it leads.
     pub(super) relays: Relays,
-    /// Answers to orders that were carried for leaders, by leader and the time that it led.
+    /// Answers to orders that this node executed as a relay, by leader and its tenure.
     carried: Map<(NodeId, u64), Vec<(OrderId, Answer)>>,
-    /// The voters and those of them that are heard, as logged last.
+    /// The voters, and those of them that this node hears, as last logged.
     pub(super) voting: (Vec<NodeId>, Vec<NodeId>),
     pub(super) data_centre: DataCentreId,
     pub(super) mesh_port: u16,
@@ -244,19 +249,19 @@
     disk: std::sync::mpsc::Sender<Vec<Write>>,
     /// The data folder.
     pub(super) folder: PathBuf,
-    /// Whether the data folder holds the cluster.
+    /// Whether the cluster is saved in the data folder.
     pub(super) kept: Kept,
-    /// When an id of the cluster may be proposed again; at once if not given.
+    /// When a cluster id may be proposed again; `None` if at once.
     pub(super) found_due: Option<Now>,
     pub(super) full: bool,
     pub(super) compacted: Index,
-    /// Bytes applied since the last snapshot.
+    /// Size of the entries applied since the last snapshot.
     pub(super) bytes: usize,
     /// Whether this process is about to end.
     pub(super) leaving: bool,
-    /// When the voters are to be looked at; at once if not given.
+    /// When to check peers and voters again; `None` if at once.
     pub(super) tend_due: Option<Now>,
-    /// When the others are to be told; at once if not given.
+    /// When to broadcast the view again; `None` if at once.
     pub(super) view_due: Option<Now>,
     pub(super) view: Option<View>,
     failed: bool,
@@ -283,7 +288,7 @@
         }
     }
 
-    /// Takes in what has come, and decides once.
+    /// Handles the inputs, then lets the leader decide once.
     fn turn(&mut self, inputs: impl ExactSizeIterator<Item = Queued>) {
         self.load.begin(inputs.len());
         for Queued { came, input } in inputs {
@@ -325,7 +330,7 @@
         }
     }
 
-    /// Lets others lead and vote, and tells them at once.
+    /// Starts to give up leadership and the vote, and broadcasts that at once.
     fn leave(&mut self) {
         self.leaving = true;
         self.view_due = None;
@@ -340,7 +345,7 @@
             Frame::View(view) => self.viewed(from, view),
             Frame::Orders { tenure, orders } => self.carry(from, tenure, orders),
             Frame::Carried { tenure, answers } => self.were_carried(from, tenure, answers),
-            // Control nodes ask nothing over the mesh.
+            // Control nodes send no requests over the mesh, so they get no replies.
             Frame::Answer(..) => {}
         }
     }
@@ -349,14 +354,14 @@
         match event {
             DiskEvent::Synced(write) => {
                 if self.full {
-                    log::info!("the disk has room again");
+                    log::info!("the disk has free space again");
                 }
                 self.full = false;
                 self.consensus(consensus::Input::Synced { write });
             }
             DiskEvent::Full => {
                 if !self.full {
-                    log::error!("the disk is full; nothing new is taken until it has room");
+                    log::error!("the disk is full; new requests are refused until it has free space");
                 }
                 self.full = true;
             }
@@ -366,7 +371,8 @@
 
     pub(super) fn fail(&mut self, why: String) {
         self.failed = true;
-        // The receiver is the process's main task; if it is gone, so are we.
+        // The receiver is the main task of the process. If it is gone, the process is ending
+        // anyway.
         let _ = self.ports.fatal.send(why);
     }
 
@@ -380,7 +386,7 @@
         }
     }
 
-    /// What every batch of inputs may have made due besides what the leader decides.
+    /// Does the work of each turn that doesn't depend on being the leader.
     fn settle(&mut self) {
         self.compact();
         self.tend();
@@ -389,7 +395,7 @@
         self.flush();
     }
 
-    /// Whether no other node can lead now.
+    /// Whether this node holds a valid leader lease, so that no other node can lead.
     pub(super) fn leads(&self) -> bool {
         self.node
             .lease_until()
@@ -404,7 +410,7 @@
             .is_some_and(Scheduler::is_superseded);
         if !self.node.is_leader() || superseded {
             if self.scheduler.take().is_some() {
-                log::info!(term = self.node.term(), superseded; "this node leads no more");
+                log::info!(term = self.node.term(), superseded; "this node is no longer the leader");
                 self.submitting.clear();
                 for asker in self.waiting.abandon() {
                     self.reply(asker, Reply::Unclear);
@@ -420,7 +426,7 @@
         self.relays.begin();
         let catalog = self.read_catalog().unwrap_or_default();
         let term = self.node.term();
-        log::info!(term, index = self.ledger.applied(); "this node leads");
+        log::info!(term, index = self.ledger.applied(); "this node became the leader");
         self.scheduler = Some(Scheduler::new(
             now,
             wall(),
@@ -431,7 +437,7 @@
         ));
     }
 
-    /// Lets the scheduler decide, commits what it wants committed and sends its orders.
+    /// Lets the scheduler plan, proposes its commands and sends its orders.
     fn plan(&mut self) {
         if !self.leads() || self.full {
             return;
@@ -459,7 +465,8 @@
         for command in plan.commands {
             self.propose(Asker::Nobody, command);
         }
-        // Asked anew: a process can freeze between two steps.
+        // Checks the lease again, because the process may have been suspended since the first
+        // check.
         if !self.leads() {
             return;
         }
@@ -478,12 +485,12 @@
         }
         for (relay, orders) in self.relays.take_batches() {
             let frame = Frame::Orders { tenure, orders };
-            // What is lost on the way gets no answer in time.
+            // A lost frame shows as orders without an answer in time.
             self.ports.mesh.send(relay, frame.encode());
         }
     }
 
-    /// Has an order carried out, and its answer come in.
+    /// Executes an order and feeds its answer back as an input.
     fn perform(
         &self,
         order: Order,
@@ -499,7 +506,7 @@
             let begun = Instant::now();
             let answer = answer.await;
             metrics.ordered(&what, &answer, begun.elapsed());
-            // A task that has ended needs no answer.
+            // The send fails only when the task has ended.
             let _ = inbox.send(answered(id, answer).into()).await;
         });
     }
@@ -515,11 +522,11 @@
         }
     }
 
-    /// Carries out the orders of a leader, unless a later one is known of.
+    /// Executes the orders of a leader as its relay, unless this node knows of a later term.
     fn carry(&mut self, leader: NodeId, tenure: u64, orders: Vec<Order>) {
         for order in orders {
             if order.term < self.node.term() {
-                // It isn't said to have failed: nobody who leads waits for it.
+                // No answer is sent: the current leader doesn't wait for this order.
                 continue;
             }
             self.perform(order, move |order, answer| Input::Carried {
@@ -531,7 +538,7 @@
         }
     }
 
-    /// A relay tells what came of this node's orders.
+    /// Handles a relay's answers to this node's orders.
     fn were_carried(&mut self, relay: NodeId, tenure: u64, answers: Vec<(OrderId, Answer)>) {
         let now = self.now();
         let Some(scheduler) = self.scheduler.as_mut().filter(|_| tenure == self.tenure) else {
@@ -545,11 +552,11 @@
         }
     }
 
-    /// Tells leaders what came of the orders that were carried for them.
+    /// Sends leaders the answers to the orders that this node executed as their relay.
     fn report_carried(&mut self) {
         for ((leader, tenure), answers) in self.carried.drain() {
             let frame = Frame::Carried { tenure, answers };
-            // What is lost on the way is known by its leader as orders without an answer.
+            // If the frame is lost, the leader sees orders without an answer.
             self.ports.mesh.send(leader, frame.encode());
         }
     }
@@ -563,13 +570,13 @@
 
     pub(super) fn reply(&self, asker: Asker, reply: Reply) {
         match asker {
-            // Whoever asked may have stopped waiting.
+            // The requester may have stopped waiting.
             Asker::Here(sender) => drop(sender.send(reply)),
             Asker::There(node, number) => self.answer(node, number, reply),
             Asker::Nobody => {}
-            // It is tried again as long as it is wanted.
+            // The change is proposed again for as long as it is needed.
             Asker::Membership => {
-                log::info!(reply:?; "a change of the voters was answered");
+                log::info!(reply:?; "result of a proposed voter change");
             }
         }
     }
@@ -593,13 +600,13 @@
 
     fn flush(&mut self) {
         if !self.writes.is_empty() {
-            // A disk thread that has ended says so by an event.
+            // A disk thread that has ended has reported its failure as an event.
             let _ = self.disk.send(std::mem::take(&mut self.writes));
         }
     }
 }
 
-/// Wall-clock time, for what operators and callers state in it.
+/// The wall-clock time, for the times that operators and callers give.
 pub fn wall_now() -> Wall {
     wall()
 }
--- a/src/manager/entry.rs
+++ b/src/manager/entry.rs
@@ -1,8 +1,9 @@
 //! How an entry node gets its callers' requests answered by the leader.
 //!
-//! The leader answers for everything: it alone knows which queues there are and what was accepted.
-//! So a request that is asked again, of another leader, is one request; what is certain is said
-//! (done, unknown, not done), and what isn't is said to be unclear.
+//! Only the leader knows which queues exist and which jobs were accepted, so it answers all
+//! requests. A request that is sent again, to another leader, therefore still counts as one
+//! request. The caller learns what is certain (done, unknown, not done); any other outcome is
+//! reported as unclear.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -29,31 +30,33 @@
     },
 };
 
-/// How long one node may take to answer before the question is asked again: several times what a
+/// How long a node may take to reply before the request is sent again. Several times as long as a
 /// commit takes on a slow disk.
 const TRY: Duration = Duration::from_millis(600);
-/// A leader that wasn't heard for so long isn't asked: more than two of its views.
+/// A leader that hasn't been heard from for this long isn't asked. More than two intervals of its
+/// views.
 const SILENT: Duration = Duration::from_millis(1300);
-/// Without a word of a leader for so long this node is cut off, alone or with control nodes that
-/// can't elect one: an election takes a second, two if it has to be repeated.
+/// Without any message from a leader for this long, the node counts as cut off, alone or together
+/// with control nodes that can't elect a leader. An election takes one second, or two if it has to
+/// be repeated.
 const CUT_OFF: Duration = Duration::from_millis(2000);
-/// From one look at whether the leader is heard again to the next.
+/// Time between two checks for a reachable leader.
 const LOOK: Duration = Duration::from_millis(100);
-/// The pause before the same node is asked again.
+/// Pause before the same node is asked again.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// What an entry node knows of the control nodes.
+/// What an entry node knows about the leader and its catalog.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Known {
-    /// The highest term that was heard of.
+    /// The highest term that a view reported.
     pub term: Term,
-    /// Who leads it.
+    /// The leader of that term.
     pub leader: Option<NodeId>,
-    /// What callers may send.
+    /// Limits on callers' requests, from the catalog.
     pub limits: CallLimits,
 }
 
-/// Asks the leader.
+/// Sends requests to the leader and retries them.
 pub struct Asking {
     mesh: Arc<Mesh>,
     mesh_port: u16,
@@ -66,14 +69,14 @@
 struct State {
     last: AskId,
     open: Map<AskId, oneshot::Sender<Reply>>,
-    /// When each control node was last heard.
+    /// When a message of each control node last arrived.
     heard: Map<NodeId, Instant>,
-    /// When the leader of that time was last heard.
+    /// When a message of the leader of that time last arrived.
     led: Option<Instant>,
 }
 
 impl Asking {
-    /// An entry node whose control nodes listen on a port.
+    /// Creates the client of an entry node. All control nodes' meshes listen on `mesh_port`.
     pub fn new(mesh: Arc<Mesh>, mesh_port: u16, metrics: Arc<Metrics>) -> Arc<Self> {
         Arc::new(Self {
             mesh,
@@ -84,28 +87,28 @@
         })
     }
 
-    /// What is known of the control nodes, as it changes.
+    /// Watches what is known about the leader.
     pub fn known(&self) -> watch::Receiver<Known> {
         self.known.subscribe()
     }
 
-    /// Takes in what the mesh brought.
+    /// Handles a message from the mesh.
     pub fn frame(&self, from: NodeId, frame: Frame) {
         self.hear(from);
         match frame {
             Frame::Answer(number, reply) => {
                 if let Some(waiting) = self.lock().open.remove(&number) {
-                    // Whoever asked may have stopped waiting.
+                    // The requester may have stopped waiting.
                     let _ = waiting.send(reply);
                 }
             }
             Frame::View(view) => self.view(from, &view),
-            // Entry nodes answer nothing, keep no log and carry no orders.
+            // Entry nodes answer no requests, keep no log and execute no orders.
             Frame::Ask(..) | Frame::Log(_) | Frame::Orders { .. } | Frame::Carried { .. } => {}
         }
     }
 
-    /// Whether no leader was heard for a while, so that nothing can be answered here.
+    /// Whether this node hasn't heard from a leader for so long that it can't answer any request.
     pub fn is_cut_off(&self) -> bool {
         self.lock().led.is_none_or(|at| at.elapsed() >= CUT_OFF)
     }
@@ -120,15 +123,15 @@
         }
     }
 
-    /// Who leads, if it was heard lately.
+    /// The leader, if it has been heard from recently.
     fn leader(&self, known: &mut watch::Receiver<Known>) -> Option<NodeId> {
         let leader = known.borrow_and_update().leader?;
         let heard = self.lock().heard.get(&leader).copied();
         heard.filter(|at| at.elapsed() < SILENT).map(|_| leader)
     }
 
-    /// Asks the leader until it has answered or the time is over. A node that is cut off answers
-    /// at once, so that the caller can turn to another.
+    /// Asks the leader until it replies or the time is over. If this node is cut off, it replies at
+    /// once, so that the caller can turn to another entry node.
     pub async fn ask(&self, ask: &Ask, until: Instant) -> Reply {
         let begun = Instant::now();
         let reply = self.find(ask, until).await;
@@ -147,7 +150,7 @@
             let leader = hint.take().or_else(|| self.leader(&mut known));
             let Some(leader) = leader else {
                 let end = until.min(Instant::now() + LOOK);
-                // Whatever came of it is looked at anew.
+                // The loop checks again whether the leader has changed or the wait timed out.
                 let _ = timeout_at(end, known.changed()).await;
                 continue;
             };
@@ -158,13 +161,14 @@
                 Tried::Answered(Reply::Refused(Refused::NoLeader)) => {}
                 Tried::Answered(Reply::Unclear) | Tried::Silent => asked = true,
                 Tried::Unsent => {}
-                // An earlier try may have been accepted all the same.
+                // An earlier try may have been accepted even though this one is refused.
                 Tried::Answered(Reply::Refused(_)) if asked => return Reply::Unclear,
                 Tried::Answered(reply) => return reply,
             }
             self.metrics.retried();
             if hint.is_none() {
-                // Something new, or a moment later the same again.
+                // Waits for new information about the leader, or for a pause before the same node
+                // is asked again.
                 let end = until.min(Instant::now() + PAUSE);
                 let _ = timeout_at(end, known.changed()).await;
             }
@@ -207,7 +211,7 @@
         self.known.send_if_modified(|known| {
             let mut changed = false;
             if joined {
-                // What was known may have come from a stray.
+                // The information so far may have come from a node of another cluster.
                 known.term = view.term;
                 known.leader = view.leader;
                 changed = true;
@@ -218,8 +222,8 @@
                 known.limits = limits;
                 changed = true;
             }
-            // A node that knows of no leader says nothing about those that others know, unless it
-            // was the one.
+            // A node that knows no leader doesn't disprove what others report, unless it was itself
+            // the leader.
             let lost = view.leader.is_none() && known.leader == Some(from);
             let newer = view.term > known.term && view.leader.is_some();
             let same = view.term == known.term && known.leader.is_none();
@@ -232,8 +236,8 @@
         });
     }
 
-    /// Holds to the cluster of a node that leads one, if this node knows none yet. A stray alone
-    /// leads nobody. Returns whether it does so from now on.
+    /// Adopts the cluster of a node that leads one, if this node doesn't know its cluster yet. A
+    /// lone node of another cluster leads nobody. Returns whether the cluster was adopted now.
     fn join(&self, leader: NodeId) -> bool {
         let cluster = self.mesh.said(leader).and_then(|claim| claim.cluster);
         let joined = cluster.is_some_and(|cluster| self.mesh.join(cluster));
@@ -244,16 +248,16 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Each change under the lock is whole by itself.
+        // Each change under the lock is complete in itself, so a poisoned lock is safe to use.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What came of asking one node.
+/// The outcome of asking one node.
 enum Tried {
     Answered(Reply),
-    /// It was sent, and nothing came back.
+    /// The request was sent, but no reply arrived in time.
     Silent,
-    /// There is no way to that node now.
+    /// There is no link to the node.
     Unsent,
 }
--- a/src/manager/frame.rs
+++ b/src/manager/frame.rs
@@ -1,4 +1,4 @@
-//! What control and entry nodes say to each other over the mesh.
+//! The messages between control and entry nodes over the mesh.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -13,67 +13,69 @@
     },
 };
 
-/// The number that an asker gives its question.
+/// A number that the requesting node assigns to a request, to match the reply.
 pub type AskId = u64;
 
-/// One message.
+/// A message between nodes.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub enum Frame {
-    /// Of consensus.
+    /// A message of the consensus protocol.
     Log(Message),
-    /// A question to the leader.
+    /// A request to the leader.
     Ask(AskId, Ask),
-    /// Its answer.
+    /// The reply to a request.
     Answer(AskId, Reply),
-    /// What a control node knows of the cluster.
+    /// The sending control node's view of the cluster.
     View(View),
-    /// Orders that a leader has another control node carry out.
+    /// Orders that the leader delegates to a relay.
     Orders {
-        /// Which time it is that the sender leads.
+        /// The sender's tenure: how many times it has become leader.
         tenure: u64,
         /// The orders.
         orders: Vec<Order>,
     },
-    /// What came of them.
+    /// A relay's answers to the orders of a leader.
     Carried {
-        /// Which time it was that the receiver led.
+        /// The tenure in which the receiver sent the orders.
         tenure: u64,
         /// The answers.
         answers: Vec<(OrderId, Answer)>,
     },
 }
 
-/// What a control node knows of the cluster, told to every node that it is linked with.
+/// A control node's view of the cluster. It is sent to every node that the control node is linked
+/// with.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct View {
-    /// Where it stands itself.
+    /// The sender's data centre.
     pub data_centre: DataCentreId,
-    /// Its term.
+    /// The sender's term.
     pub term: Term,
-    /// Who leads.
+    /// The leader, if the sender knows one.
     pub leader: Option<NodeId>,
-    /// Whether it is about to end.
+    /// Whether the sender is about to end.
     pub leaving: bool,
-    /// The control nodes that it heard of lately, itself included.
+    /// The control nodes that the sender has heard from recently, itself included.
     pub controls: Vec<(NodeId, DataCentreId)>,
-    /// What callers may send.
+    /// Limits on callers' requests, from the catalog.
     pub limits: Option<CallLimits>,
-    /// Whether it carries out orders for a leader; nodes of earlier releases don't.
+    /// Whether the sender executes orders as a relay. Nodes of earlier releases don't.
     #[serde(default)]
     pub carries: bool,
 }
 
 impl Frame {
-    /// The bytes on the wire.
+    /// Encodes the message for the wire.
     pub fn encode(&self) -> Bytes {
         let mut bytes = Vec::new();
-        ciborium::into_writer(self, &mut bytes).expect("a vector takes every write");
+        ciborium::into_writer(self, &mut bytes).expect("writing to a vector can't fail");
         bytes.into()
     }
 
-    /// Reads what [`Frame::encode`] wrote; `None` if the peer speaks of what we don't know.
+    /// Decodes a message from [`Frame::encode`]. Returns `None` if this release doesn't know the
+    /// message.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         ciborium::from_reader(bytes).ok()
     }
--- a/src/manager/identity.rs
+++ b/src/manager/identity.rs
@@ -1,9 +1,9 @@
-//! Which node a process is.
+//! The id of a control node.
 //!
-//! A control node's id is made of its address and of a number that its data folder got when it was
-//! made. So whoever knows an id can reach the node, without a directory of addresses that would
-//! have to be found first; and a node that lost its disk comes back under another id, since it
-//! must never vote under one whose promises it forgot.
+//! A control node's id consists of its address and a random number that its data folder got when it
+//! was created. Whoever knows an id can therefore reach the node without a directory of addresses,
+//! which would have to be found first. A node that lost its disk comes back with a different id: it
+//! must never vote under an id whose earlier votes it no longer knows.
 
 use std::{
     fs::{self, File},
@@ -16,10 +16,10 @@
 
 use crate::core::types::NodeId;
 
-/// The file that holds the id.
+/// The file in the data folder that holds the id.
 const FILE: &str = "node";
 
-/// Why a node can't know who it is.
+/// Why a node's identity can't be read or stored.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(super)))]
@@ -32,15 +32,15 @@
         /// Why.
         source: io::Error,
     },
-    /// The file holds something else.
+    /// The content of the file isn't a node id.
     #[snafu(display("{} holds {text:?}, which isn't a node id; empty the data folder", path.display()))]
     Content {
         /// Which file.
         path: PathBuf,
-        /// What it holds.
+        /// The content.
         text: String,
     },
-    /// The file holds something else than a cluster.
+    /// The content of the file isn't a cluster.
     #[snafu(display("{}: {source}; empty the data folder", path.display()))]
     Cluster {
         /// Which file.
@@ -48,19 +48,20 @@
         /// Why.
         source: serde_json::Error,
     },
-    /// The folder was made at another address.
+    /// The folder was created at another address.
     #[snafu(display("{} belongs to {there}, and this is {here}; give each node its own folder", path.display()))]
     Address {
         /// Which file.
         path: PathBuf,
-        /// The address in it.
+        /// The address in the file.
         there: Ipv4Addr,
-        /// Ours.
+        /// This node's address.
         here: Ipv4Addr,
     },
 }
 
-/// The id of a node at an address whose data folder has a number. First voters have folder 0.
+/// Returns the id of a node from its address and the number of its data folder. The first voters of
+/// a cluster have folder number 0.
 ///
 /// ```
 /// use egretpin::manager::identity::{address, node_id};
@@ -72,18 +73,18 @@
     (NodeId::from(u32::from(ip)) << 32) | NodeId::from(folder)
 }
 
-/// Where a node is reached.
+/// Returns the socket address of a node.
 pub fn address(node: NodeId, port: u16) -> SocketAddr {
     SocketAddr::from((ip(node), port))
 }
 
-/// The address of a node's host.
+/// Returns the IP address of a node.
 pub fn ip(node: NodeId) -> Ipv4Addr {
     // The upper half of the id.
     Ipv4Addr::from(u32::try_from(node >> 32).unwrap_or_default())
 }
 
-/// Finds the id that a data folder holds, or makes one for `ip` and keeps it.
+/// Reads the node id from a data folder, or creates one for `ip` and `number` and stores it.
 ///
 /// # Errors
 ///
@@ -95,7 +96,8 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
         Err(source) => return Err(IdentityError::Access { path, source }),
     };
-    // A loss of power may have left the file without its content; nothing was promised then.
+    // A power loss may have left the file empty. The node hadn't voted under the id then, so a new
+    // one is safe.
     if text.trim().is_empty() {
         let id = node_id(ip, number);
         keep(folder, &path, &id.to_string()).context(AccessSnafu { path })?;
@@ -112,7 +114,7 @@
     Ok(id)
 }
 
-/// Puts a file of one line in place, synced.
+/// Writes a file of one line atomically: syncs a new file, then renames it into place.
 pub(super) fn keep(folder: &Path, path: &Path, line: &str) -> io::Result<()> {
     fs::create_dir_all(folder)?;
     let beside = path.with_extension("new");
--- a/src/manager/load.rs
+++ b/src/manager/load.rs
@@ -1,10 +1,12 @@
-//! How far behind the control task is, and what its time goes into.
+//! Measures how far behind the control task is, and where its time goes.
 //!
-//! The task takes in whatever has come while it was busy, decides once, and looks again. A *turn* is
-//! one such round. While it keeps up, an input waits for the turn before it and no longer; once it
-//! doesn't, inputs wait for many turns, and what the leader believes grows old. Neither shows in the
-//! processor time of a whole day, since one leader follows the other. So each wait and each turn is
-//! measured, and a window in which either was too long is logged as a whole, with what was done in it.
+//! The task handles all inputs that arrived while it was busy, decides once, and starts over. One
+//! such iteration is a *turn*. While the task keeps up, an input waits for one turn at most. When
+//! it falls behind, inputs wait for many turns, and the leader decides on outdated information.
+//!
+//! Neither shows in a node's processor time over a whole day, since leadership moves between nodes.
+//! So each wait and each turn is measured, and a window in which an input waited too long or the
+//! thread was too busy is logged with everything that was done in it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,18 +14,18 @@
 
 use super::metrics::{Metrics, Part};
 
-/// From one look at the sums to the next: short enough to show the seconds of a rush, long enough for
-/// a line each time to be bounded.
+/// Length of a window. Short enough to show the seconds of a burst, and long enough to bound the
+/// number of log lines.
 const WINDOW: Duration = Duration::from_secs(1);
-/// From one sample of the busy part to the next.
+/// Time between two samples of the busy ratio.
 const SAMPLE: Duration = Duration::from_millis(100);
-/// An input that waited for longer came too late for what it was about: half of what an agent may
-/// take to answer.
+/// Wait after which an input comes too late to act on. Half of the time that an agent may take to
+/// answer.
 const BEHIND: Duration = Duration::from_millis(250);
-/// A thread that is busy for more than this part of a window has no time left for a rush.
+/// Busy ratio of the thread in a window above which no time is left for a burst.
 const FULL: f64 = 0.9;
 
-/// What was measured since the last look.
+/// Totals and maxima of the current window. The field names are the keys of the log line.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
     turns: usize,
@@ -40,27 +42,27 @@
     looks: usize,
 }
 
-/// Measures the turns of one control task.
+/// Measures the turns of the control task.
 #[derive(Debug)]
 pub(super) struct Load {
     metrics: Arc<Metrics>,
     sums: Sums,
-    /// Since the window began.
+    /// The thread's busy time since the window began.
     window: Meter,
-    /// Since the last sample.
+    /// The thread's busy time since the last sample.
     sample: Meter,
-    /// When this turn began, and when the last part of it ended.
+    /// When this turn began, and when its last finished phase ended.
     begun: Instant,
     mark: Instant,
-    /// The longest that an input of this turn waited.
+    /// The longest wait of an input of this turn.
     wait: Duration,
 }
 
-/// Reads the part of a span that the thread was busy.
+/// Measures the busy ratio of the thread over a span of time.
 #[derive(Debug)]
 struct Meter {
     since: Instant,
-    /// For how long the thread had been busy by then.
+    /// The thread's total busy time at `since`.
     busy: Duration,
 }
 
@@ -72,7 +74,8 @@
         }
     }
 
-    /// The span until now and the busy part of it, if it is this long at least; the next begins now.
+    /// Returns the span until now and its busy ratio, and starts a new span. Returns `None` if the
+    /// span is shorter than `least`.
     fn read(&mut self, now: Instant, least: Duration) -> Option<(Duration, f64)> {
         let span = now - self.since;
         if span < least {
@@ -98,7 +101,7 @@
         }
     }
 
-    /// A turn begins with so many inputs.
+    /// Starts a turn with a number of inputs.
     pub(super) fn begin(&mut self, inputs: usize) {
         self.begun = Instant::now();
         self.mark = self.begun;
@@ -108,13 +111,13 @@
         self.metrics.batched(inputs);
     }
 
-    /// An input of this turn came then.
+    /// Records how long an input of this turn has waited since its arrival.
     pub(super) fn waited(&mut self, came: Instant) {
         let wait = self.mark.saturating_duration_since(came);
         self.wait = self.wait.max(wait);
     }
 
-    /// A part of the turn is done.
+    /// Records the end of a phase of the turn.
     pub(super) fn done(&mut self, part: Part) {
         let now = Instant::now();
         let took = now - self.mark;
@@ -128,7 +131,7 @@
         self.metrics.turned(part, took);
     }
 
-    /// The turn is over with its last part.
+    /// Records the turn after its last phase.
     pub(super) fn end(&mut self) {
         self.sums.turn = self.sums.turn.max(self.mark - self.begun);
         let wait = std::mem::take(&mut self.wait);
@@ -136,26 +139,28 @@
         self.metrics.waited(wait);
     }
 
-    /// What the turn decided: orders, commands and their bytes, and agents that were looked at for it.
+    /// Records what the turn decided: the number of orders and commands, and of agents that were
+    /// examined.
     pub(super) fn decided(&mut self, orders: usize, commands: usize, looks: usize) {
         self.sums.orders += orders;
         self.sums.commands += commands;
         self.sums.looks += looks;
     }
 
-    /// So many bytes were proposed to the log.
+    /// Records the size of a proposal.
     pub(super) fn proposed(&mut self, bytes: usize) {
         self.sums.bytes += bytes;
     }
 
-    /// A span that ends now and the part of it that the thread was busy, if it is time for a sample.
+    /// The span since the last sample and its busy ratio, if a new sample is due.
     pub(super) fn sample(&mut self) -> Option<(Duration, f64)> {
         self.sample.read(self.mark, SAMPLE)
     }
 
-    /// Closes the window if it is over, and logs it if the task was behind in it or its thread full.
+    /// Ends the window if it is over. Logs it if an input waited too long in it or the thread was
+    /// too busy.
     ///
-    /// `under_way` is how many orders wait for their answers.
+    /// `under_way` is the number of orders that wait for an answer.
     pub(super) fn close(&mut self, under_way: usize) {
         let Some((_, share)) = self.window.read(self.mark, WINDOW) else {
             return;
@@ -182,12 +187,12 @@
         log::warn!(
             busy = share, turns, inputs, batch, wait:?, turn:?, taking:?, planning:?, rest:?,
             orders, under_way, commands, bytes, looks;
-            "the control task is behind"
+            "the control task is falling behind"
         );
     }
 }
 
-/// For how long the thread of the tasks has been busy, since the process began.
+/// The total busy time of the thread that runs the tasks, since the process started.
 fn busy() -> Duration {
     Handle::current().metrics().worker_total_busy_duration(0)
 }
--- a/src/manager/membership.rs
+++ b/src/manager/membership.rs
@@ -1,15 +1,16 @@
-//! Which control nodes should vote.
+//! Decides which control nodes should vote, from the nodes' last contacts, announced ends and data
+//! centres. It proposes nothing itself.
 //!
-//! A voter that is gone for good must be replaced before the next one goes: of three voters one is
-//! no majority, and what was lost then can't be voted back in. Nobody tells a voter that comes back
-//! from one that doesn't, so whoever is silent is replaced as soon as another node can take its
-//! place. That costs two entries of the log if it comes back after all, and between the two the
-//! newcomer is needed for a majority; the old voter then follows, and may be chosen again. Without
-//! another node the silent voter stays.
+//! A voter that is gone for good must be replaced before the next one is lost: one of three voters
+//! is no majority, and without a majority no new voter can be added. Nothing tells a voter that
+//! will come back from one that won't, so any silent voter is replaced as soon as another node can
+//! take its place. If it does come back, that has cost two log entries. Between the two, the new
+//! voter is needed for a majority. The old voter is a learner then and may be chosen again. If
+//! there is no other node, the silent voter stays.
 //!
-//! A node that lost its disk comes back under another id, so an id whose address another id lives
-//! at is gone. A node that is about to end says so, and is replaced while it still votes, if another
-//! node can take its place.
+//! A node that lost its disk comes back with a different id. So an id is gone for good once another
+//! id is alive at its address. A node that is about to end announces it, and is replaced while it
+//! still votes if another node can take its place.
 //!
 //! ```
 //! use std::time::Duration;
@@ -25,7 +26,7 @@
 //! for (host, data_centre) in [(1, "east"), (2, "west"), (4, "north")] {
 //!     members.heard(now, node(host), data_centre.into(), false);
 //! }
-//! // The new one comes in before the lost one goes out.
+//! // The new voter is added before the lost one is removed.
 //! let voters = [node(1), node(2), node(3)];
 //! let silent = [node(3)];
 //! let mut voting = Voting { leader: node(1), voters: &voters, silent: &silent, target: 3 };
@@ -41,55 +42,57 @@
 use super::identity::ip;
 use crate::core::types::{DataCentreId, NodeId, Now};
 
-/// A node counts as alive if it was heard within this: two of its views, and some delay.
+/// A node counts as alive if it was heard from within this time. Covers two intervals of its views
+/// and some delay.
 const ALIVE: Duration = Duration::from_millis(2500);
-/// A node that came to nothing as a new voter is the last choice for so long. Another may be
-/// reached where it can't, and it may be reached again soon.
+/// How long a node that couldn't be made a voter is chosen only as the last resort. Another node
+/// may be reachable where this one isn't, and this one may be reachable again soon.
 const LAST_CHOICE: Duration = Duration::from_secs(5);
-/// A living node that was heard within this, one of its views and some delay, is chosen before one
-/// that was not: what takes a voter away may have taken its neighbours.
+/// An alive node that was heard from within this time is chosen before others. Covers one interval
+/// of its views and some delay. A failure that takes a voter away may have taken nodes next to it.
 const FRESH: Duration = Duration::from_millis(1200);
-/// Nodes that aren't heard for so long are forgotten, or those that were replaced would be told of
-/// and dialled for ever. Longer than any cut that operators told us of.
+/// Nodes that haven't been heard from for this long are forgotten. Otherwise replaced nodes would
+/// be announced and dialled for ever. Longer than any network partition that operators reported.
 const FORGET: Duration = Duration::from_secs(60);
 
-/// What is known of a control node.
+/// What is known about a control node.
 #[derive(Clone, Debug)]
 struct Member {
     data_centre: DataCentreId,
-    /// When it was last heard; never, if others told of it.
+    /// When this node last heard from it; `None` if only other nodes mentioned it.
     heard: Option<Now>,
-    /// When it was first told of or last heard.
+    /// When this node last heard from it, or else when another node first mentioned it.
     known: Now,
-    /// Whether it is about to end.
+    /// Whether it has announced that it is about to end.
     leaving: bool,
-    /// When it last came to nothing as a new voter.
+    /// When it last couldn't be made a voter.
     failed: Option<Now>,
 }
 
-/// The control nodes that were heard of.
+/// The known control nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     members: BTreeMap<NodeId, Member>,
-    /// The node that is to become a voter.
+    /// The node that is being added as a voter.
     joining: Option<NodeId>,
 }
 
-/// Who votes now, as the leader sees it.
+/// The current voters as the leader sees them.
 #[derive(Clone, Copy, Debug)]
 pub struct Voting<'a> {
     /// The leader.
     pub leader: NodeId,
     /// The voters.
     pub voters: &'a [NodeId],
-    /// Those of them that haven't answered for too long.
+    /// The voters that haven't answered the leader for too long.
     pub silent: &'a [NodeId],
-    /// How many there should be.
+    /// How many voters there should be.
     pub target: usize,
 }
 
 impl Members {
-    /// A control node was heard, and whether it is about to end. Returns whether it is new.
+    /// Records that a control node was heard from and whether it is about to end. Returns whether
+    /// it was never heard from before.
     pub fn heard(
         &mut self,
         now: Now,
@@ -111,7 +114,8 @@
         new
     }
 
-    /// A control node was heard of; it isn't known to live. Returns whether it is new.
+    /// Records that another node mentioned a control node, which may not be alive. Returns whether
+    /// it is new.
     pub fn told(&mut self, now: Now, node: NodeId, data_centre: DataCentreId) -> bool {
         let new = !self.members.contains_key(&node);
         self.members.entry(node).or_insert(Member {
@@ -124,13 +128,14 @@
         new
     }
 
-    /// Forgets nodes that weren't heard for long.
+    /// Forgets nodes that haven't been heard from for a long time.
     pub fn forget(&mut self, now: Now) {
         self.members.retain(|_, member| now < member.known + FORGET);
     }
 
-    /// All that were heard, but those whose address another id has. Who was merely told of isn't
-    /// passed on, so that nobody is told of for ever.
+    /// All nodes that were heard from, except those whose address another id has taken. Nodes that
+    /// were only mentioned aren't announced; otherwise nodes would go on announcing a dead node to
+    /// each other for ever.
     pub fn all(&self, now: Now) -> Vec<(NodeId, DataCentreId)> {
         let all = self.members.iter().filter(|(_, m)| m.heard.is_some());
         let all = all.filter(|(node, _)| !self.is_replaced(now, **node));
@@ -138,7 +143,8 @@
             .collect()
     }
 
-    /// The nodes besides one that were heard of late enough to be relied on and go on, and where.
+    /// The nodes other than `me` that were heard from recently, aren't about to end and aren't
+    /// superseded, with their data centres.
     pub fn others(&self, now: Now, me: NodeId) -> Vec<(NodeId, DataCentreId)> {
         let others = self.members.iter().filter(|(node, member)| {
             let fresh = member.heard.is_some_and(|heard| now < heard + FRESH);
@@ -149,13 +155,13 @@
             .collect()
     }
 
-    /// Those of some nodes that were heard lately.
+    /// Those of `nodes` that are alive.
     pub fn living(&self, now: Now, nodes: &[NodeId]) -> Vec<NodeId> {
         let living = |node: &NodeId| self.is_alive(now, *node);
         nodes.iter().copied().filter(living).collect()
     }
 
-    /// The change of voters that is wanted most; `None` if all is well.
+    /// Returns the voters after the most urgent change; `None` if no change is needed or possible.
     pub fn wanted(&mut self, now: Now, voting: &Voting<'_>) -> Option<Vec<NodeId>> {
         let Voting { voters, target, .. } = *voting;
         let lost = self.lost(now, voting);
@@ -175,12 +181,12 @@
         Some(changed)
     }
 
-    /// The change of voters that was wanted last was made.
+    /// The last change from [`Self::next_change`] was applied.
     pub fn came_about(&mut self) {
         self.joining = None;
     }
 
-    /// The change of voters that was wanted last came to nothing.
+    /// The last change from [`Self::next_change`] failed.
     pub fn came_to_nothing(&mut self, now: Now) {
         let joining = self.joining.take();
         if let Some(member) = joining.and_then(|node| self.members.get_mut(&node)) {
@@ -188,13 +194,13 @@
         }
     }
 
-    /// Whether a node that lives could vote instead of one that does.
+    /// Whether an alive node that isn't a voter could become one.
     pub fn has_spare(&self, now: Now, voters: &[NodeId]) -> bool {
         self.candidate(now, voters, &[]).is_some()
     }
 
-    /// To whom a leader that is about to end should hand over: a voter that goes on and isn't
-    /// silent.
+    /// The voter that a leader should hand over to before it ends. It must be alive, not silent and
+    /// not about to end.
     pub fn heir(&self, now: Now, voting: &Voting<'_>) -> Option<NodeId> {
         let voters = voting.voters.iter().copied();
         let able = |v: &NodeId| {
@@ -216,15 +222,16 @@
             .or_else(|| voters().find(|v| leaving(v) && *v != voting.leader))
     }
 
-    /// Whether a node would leave fewer voters to be lost with one data centre, if it voted instead
-    /// of one of those that are most.
+    /// Whether the loss of one data centre would take fewer voters if `node` replaced a voter in
+    /// the data centre that has the most.
     fn spreads(&self, node: NodeId, voters: &[NodeId]) -> bool {
         let most = voters.iter().map(|v| self.neighbours(*v, voters)).max();
         self.neighbours(node, voters) + 1 < most.unwrap_or_default()
     }
 
-    /// A voter too many, once all live: one of the data centre that has the most, so that losing
-    /// it costs the fewest.
+    /// The voter to remove from a list that is too long, once all voters are alive. It is in the
+    /// data centre that has the most voters, so that the loss of a data centre takes as few voters
+    /// as possible.
     fn superfluous(&self, now: Now, voting: &Voting<'_>) -> Option<NodeId> {
         let voters = voting.voters.iter().copied();
         if voters.clone().any(|v| !self.is_alive(now, v)) {
@@ -234,7 +241,8 @@
         others.max_by_key(|v| (self.neighbours(*v, voting.voters), *v))
     }
 
-    /// A living node that isn't a voter, in a data centre with as few of those as can be.
+    /// The best alive node that isn't a voter. Prefers data centres with few of the voters that
+    /// stay.
     fn candidate(&self, now: Now, voters: &[NodeId], staying: &[NodeId]) -> Option<NodeId> {
         let able = self.members.iter().filter(|(node, member)| {
             !voters.contains(node)
@@ -252,7 +260,7 @@
         best.map(|(node, _)| *node)
     }
 
-    /// How many of some nodes are in a node's data centre.
+    /// How many of `nodes` are in the same data centre as `node`.
     fn neighbours(&self, node: NodeId, nodes: &[NodeId]) -> usize {
         let centre = |node: &NodeId| self.members.get(node).map(|m| &m.data_centre);
         nodes.iter().filter(|n| centre(n) == centre(&node)).count()
@@ -263,7 +271,7 @@
         heard.is_some_and(|heard| now < heard + ALIVE)
     }
 
-    /// Whether another id, heard later, lives at the address of this one.
+    /// Whether another id is alive at this node's address and was heard from later.
     fn is_replaced(&self, now: Now, node: NodeId) -> bool {
         let heard = self.members.get(&node).and_then(|member| member.heard);
         self.members.iter().any(|(other, member)| {
--- a/src/manager/metrics.rs
+++ b/src/manager/metrics.rs
@@ -1,7 +1,7 @@
-//! What control and entry nodes count.
+//! The metrics of control and entry nodes.
 //!
-//! Every reason has its counter from the start, at zero, so that a rate can be taken over the first
-//! one. Labels come from the enums that decide, never from text of their own.
+//! The reply counters of [`OUTCOMES`] exist from the start, at zero, so that a rate covers the
+//! first event, too. Label values come from the enums that decide, never from free text.
 
 use std::{fmt, sync::atomic::AtomicU64, time::Duration};
 
@@ -44,19 +44,19 @@
     part: &'static str,
 }
 
-/// The parts of a turn of the control task.
+/// The phases of a turn of the control task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// Inputs are taken in, and what is committed is applied.
+    /// Handles inputs and applies committed entries.
     Take,
-    /// The leader decides and gives its orders.
+    /// The leader decides and sends its orders.
     Plan,
-    /// Snapshots, voters, views and writes.
+    /// Takes snapshots, checks the voters, broadcasts the view and hands writes to the disk.
     Rest,
 }
 
 impl Part {
-    /// The word for it.
+    /// The phase's label value.
     fn word(self) -> &'static str {
         match self {
             Self::Take => "take",
@@ -66,7 +66,7 @@
     }
 }
 
-/// The counters, gauges and histograms of one process.
+/// The counters, gauges and histograms of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -77,33 +77,35 @@
     order_time: Family<Kind, Histogram>,
     /// 1 while this node leads.
     pub leading: Gauge,
-    /// The term of the log.
+    /// The current term of the log.
     pub term: Gauge,
-    /// The last index applied here.
+    /// The last log index that this node applied.
     pub applied: Gauge,
     /// 1 while this node votes.
     pub votes: Gauge,
-    /// Voters, as this node's log has them.
+    /// Number of voters according to this node's log.
     pub voters: Gauge,
-    /// Those of them that this node hears.
+    /// Number of voters that this node hears, itself included.
     pub voters_heard: Gauge,
-    /// Agents that are known.
+    /// Number of known agents.
     pub agents: Gauge,
-    /// Tasks that wait to be started; the leader's alone.
+    /// Number of tasks that wait to be started. Only the leader sets it.
     pub waiting: Gauge,
-    /// Attempts that are placed; the leader's alone.
+    /// Number of placed attempts. Only the leader sets it.
     pub placed: Gauge,
-    /// Orders that wait for their answers; the leader's alone.
+    /// Number of orders that wait for an answer. Only the leader sets it.
     pub under_way: Gauge,
-    /// Tasks that are suspected to end the hosts that run them; the leader's alone.
+    /// Number of tasks that are suspected of crashing the hosts that run them. Only the leader sets
+    /// it.
     pub suspected: Gauge,
-    /// Jobs that have failed since a task of theirs ends the hosts that run it; the leader's alone.
+    /// Jobs that failed because one of their tasks crashes the hosts that run it. Only the leader
+    /// counts them.
     pub convicted: Counter,
     /// 1 once this node knows its cluster.
     pub joined: Gauge,
-    /// Links refused or dropped, as the peer is of another cluster.
+    /// Links refused or dropped because the peer belongs to another cluster.
     pub refused: Counter,
-    /// The part of the last second that the thread of the tasks was busy.
+    /// Share of the last second in which the thread that runs the tasks was busy.
     pub busy: Gauge<f64, AtomicU64>,
     input_wait: Histogram,
     batch: Histogram,
@@ -147,7 +149,8 @@
     }
 }
 
-/// From a millisecond to eight seconds, which is longer than anything may take.
+/// A histogram of durations from a millisecond to eight seconds. Nothing that is measured may take
+/// longer.
 fn times() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
@@ -262,19 +265,19 @@
         );
     }
 
-    /// Counts what was replied, and how long it took.
+    /// Counts a reply and records how long it took.
     pub fn replied(&self, reply: &Reply, took: Duration) {
         let outcome = outcome(reply);
         self.replies.get_or_create(&Outcome { outcome }).inc();
         self.reply_time.observe(took.as_secs_f64());
     }
 
-    /// Counts a question that was sent again.
+    /// Counts a request that was sent again.
     pub fn retried(&self) {
         self.retries.inc();
     }
 
-    /// Counts what came of an order, and how long it took.
+    /// Counts the answer to an order and records how long it took.
     pub fn ordered(&self, what: &What, answer: &Answer, took: Duration) {
         let (order, outcome) = (order(what), answered(answer));
         let label = Ordered { order, outcome };
@@ -283,34 +286,34 @@
         time.observe(took.as_secs_f64());
     }
 
-    /// An input waited so long for its turn, the longest of them.
+    /// Records the longest time that an input of a turn waited.
     pub fn waited(&self, wait: Duration) {
         self.input_wait.observe(wait.as_secs_f64());
     }
 
-    /// A turn took so many inputs.
+    /// Records the number of inputs of a turn.
     pub fn batched(&self, inputs: usize) {
         self.batch.observe(inputs as f64);
     }
 
-    /// A part of a turn took so long.
+    /// Records the duration of a phase of a turn.
     pub fn turned(&self, part: Part, took: Duration) {
         let part = part.word();
         let time = self.turn_time.get_or_create(&Share { part });
         time.observe(took.as_secs_f64());
     }
 
-    /// Something was placed at an agent that had been heard so long ago.
+    /// Records the age of an agent's last heartbeat when a task was placed there.
     pub fn placed_after(&self, age: Duration) {
         self.beat_age.observe(age.as_secs_f64());
     }
 
-    /// A start was sent so long after it was decided.
+    /// Records the time from the decision to start an attempt until its order was sent.
     pub fn start_sent_after(&self, delay: Duration) {
         self.start_delay.observe(delay.as_secs_f64());
     }
 
-    /// All of them as text.
+    /// Encodes all metrics as text.
     ///
     /// # Errors
     ///
@@ -322,7 +325,7 @@
     }
 }
 
-/// All outcomes that a reply can have.
+/// Reply outcomes whose counters exist from the start.
 const OUTCOMES: [&str; 13] = [
     "done",
     "state",
@@ -339,7 +342,7 @@
     "overloaded",
 ];
 
-/// The word for a reply in metrics and logs.
+/// The label of a reply in metrics and logs.
 pub fn outcome(reply: &Reply) -> &'static str {
     match reply {
         Reply::Done => "done",
@@ -358,7 +361,7 @@
     }
 }
 
-/// The word for an order.
+/// The label of an order in metrics and logs.
 pub fn order(what: &What) -> &'static str {
     match what {
         What::Start(_) => "start",
@@ -372,7 +375,7 @@
     }
 }
 
-/// The word for an answer.
+/// The label of an answer in metrics and logs.
 pub fn answered(answer: &Answer) -> &'static str {
     match answer {
         Answer::Done { .. } | Answer::Report(_) | Answer::Hosts(_) | Answer::Eligible(_) => "done",
--- a/src/manager/mod.rs
+++ b/src/manager/mod.rs
@@ -1,16 +1,16 @@
-//! The processes that run jobs: control nodes, which keep the ledger and lead, and entry nodes,
-//! which take callers' requests to the leader.
+//! The nodes that manage jobs: control nodes, which replicate the ledger and elect a leader, and
+//! entry nodes, which pass callers' requests on to the leader.
 //!
-//! What speaks to the outside (callers, agents, the provider of hosts, operators) is handed in as
-//! closures, so that nothing here knows how any of them is spoken to.
+//! Connections to the outside (callers, agents, the provider of hosts, operators) are passed in as
+//! closures, so this module depends on none of their protocols.
 //!
-//! - [`control`]: consensus, the ledger and the leader's scheduler, as one task;
-//! - [`entry`]: finds the leader and asks it, again if need be;
-//! - [`ask`]: what may be asked, and what is answered;
-//! - [`identity`]: which node a data folder belongs to;
-//! - [`cluster`]: and which cluster;
-//! - [`membership`]: which control nodes should vote;
-//! - [`ports`]: what a control node is given.
+//! - [`control`]: the task that runs consensus, the ledger and the leader's scheduler;
+//! - [`entry`]: finds the leader, sends it requests and retries them;
+//! - [`request`]: the requests to the leader and its replies;
+//! - [`identity`]: the node id that a data folder belongs to;
+//! - [`cluster`]: the cluster id that a data folder belongs to;
+//! - [`membership`]: decides which control nodes should vote;
+//! - [`ports`]: the settings and outside connections that a control node is started with.
 
 pub mod ask;
 pub mod cluster;
--- a/src/manager/outputs.rs
+++ b/src/manager/outputs.rs
@@ -1,5 +1,5 @@
-//! What a control node does with the outputs of consensus: it sends, writes, applies to the ledger,
-//! and answers who waits.
+//! Carries out the outputs of consensus on a control node: sends messages, writes to the disk,
+//! applies entries to the ledger and replies to requesters.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
             Output::Apply(entry) => self.apply(&entry),
             Output::Restore { index, image } => match Ledger::from_image(&image) {
                 Ok(ledger) => {
-                    log::info!(index; "the ledger was restored from a snapshot");
+                    log::info!(index; "restored the ledger from a snapshot");
                     self.ledger = ledger;
                     self.catalog = None;
                     self.compacted = index;
@@ -50,11 +50,11 @@
                 }
             }
             Output::Resigned { term, why } => {
-                log::info!(term, why = why.label(); "this node stepped down");
+                log::info!(term, why = why.label(); "this node stepped down as the leader");
             }
             Output::Rejected { proposal, leader } => {
                 if let Some(asker) = self.waiting.rejected(proposal) {
-                    // One that leads no more can't know why its change came to nothing.
+                    // A node that stopped leading can't know why the change failed.
                     if matches!(asker, Asker::Membership) && self.node.is_leader() {
                         let now = self.now();
                         self.members.came_to_nothing(now);
@@ -83,7 +83,8 @@
         }
         if let Some((asker, own)) = waiter {
             if matches!(asker, Asker::Membership) {
-                // The next change need not wait: with a lost voter in it a longer list is weaker.
+                // The next change is due at once: while a lost voter is on a longer list, the
+                // cluster tolerates fewer losses.
                 self.tend_due = None;
                 self.members.came_about();
             }
@@ -123,15 +124,16 @@
         }
     }
 
-    /// Logs what a change means for callers and agents; the leader alone, as it decided it.
+    /// Logs a change that matters to callers and agents. Only the leader logs it, because it made
+    /// the decision.
     fn note(&self, change: Change) {
         if self.scheduler.is_none() {
             return;
         }
         match change {
-            Change::Gone(agent) => log::info!(agent:%; "an agent is over"),
+            Change::Gone(agent) => log::info!(agent:%; "an agent incarnation has ended"),
             Change::Convicted(task) => {
-                log::warn!(task:%; "a job has failed, since a task of it ends the hosts that run it");
+                log::warn!(task:%; "a job failed because one of its tasks crashes the hosts that run it");
                 self.ports.metrics.convicted.inc();
             }
             Change::Accepted(id) => {
@@ -143,13 +145,13 @@
         }
     }
 
-    /// Reads the catalog in force, if that wasn't done.
+    /// Returns the catalog in force. Decodes it if that hasn't been done yet.
     pub(super) fn read_catalog(&mut self) -> Option<Arc<Catalog>> {
         if self.catalog.is_none() {
             let document = self.ledger.document()?;
             match (self.ports.decode)(&document.text.0) {
                 Ok(catalog) => {
-                    log::info!(version = document.version, queues = catalog.queues.len(); "a catalog is in force");
+                    log::info!(version = document.version, queues = catalog.queues.len(); "decoded the catalog in force");
                     let catalog = Arc::new(catalog);
                     self.catalog = Some(Arc::clone(&catalog));
                     let now = self.now();
@@ -157,8 +159,8 @@
                         scheduler.declare(now, catalog, &self.ledger);
                     }
                 }
-                // It was read before it was committed, by this release or an earlier one.
-                Err(error) => log::error!(error; "the catalog in force can't be read"),
+                // It was decoded before it was committed, by this release or an earlier one.
+                Err(error) => log::error!(error; "failed to decode the catalog in force"),
             }
         }
         self.catalog.clone()
--- a/src/manager/peers.rs
+++ b/src/manager/peers.rs
@@ -1,5 +1,5 @@
-//! What a control node does about the others: dials them, has the right ones vote, and tells all
-//! what it knows.
+//! How a control node treats its peers: it dials them, proposes changes of the voters and
+//! broadcasts its view of the cluster.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,11 +19,12 @@
     workload::scheduler::Scheduler,
 };
 
-/// A voter that has answered nothing for so long isn't handed leadership: three heartbeats.
+/// Leadership isn't handed to a voter that has been silent for this long. Three heartbeat
+/// intervals.
 const HEIR: Duration = Duration::from_millis(300);
 
 impl Task {
-    /// Dials the control nodes that are known, and has the right ones vote.
+    /// Dials the known control nodes and, as the leader, proposes changes of the voters.
     pub(super) fn tend(&mut self) {
         let now = self.now();
         if self.tend_due.is_some_and(|due| now < due) {
@@ -57,20 +58,20 @@
         };
         let wanted = self.members.wanted(now, &voting);
         if let Some(voters) = wanted {
-            log::info!(voters:? = voters, now:? = self.node.voters(); "the voters should change");
+            log::info!(voters:? = voters, now:? = self.node.voters(); "proposing a change of the voters");
             let proposal = self.waiting.propose(Asker::Membership, None);
             self.consensus(consensus::Input::Reconfigure { proposal, voters });
         }
     }
 
-    /// Tells the relays which nodes carry orders.
+    /// Updates the nodes that can execute orders as relays.
     fn find_relays(&mut self, now: Now) {
         let mut others = self.members.others(now, self.node.id());
         others.retain(|(node, _)| self.carriers.contains(node));
         self.relays.set(others);
     }
 
-    /// Hands leadership over before this process ends; again until another node has it.
+    /// Hands leadership over before this process ends. Called again until another node has it.
     fn hand_over(&mut self, now: Now) {
         let voting = Voting {
             leader: self.node.id(),
@@ -84,8 +85,9 @@
         }
     }
 
-    /// Logs who votes, and whom of them this node hears, when either changes. Without a leader
-    /// this alone tells too few living voters from living ones that can't agree.
+    /// Logs the voters and those of them that this node hears when either changes. Without a
+    /// leader, only this line distinguishes too few alive voters from alive voters that can't
+    /// agree.
     fn watch_voters(&mut self, now: Now) {
         let voters = self.node.voters().to_vec();
         let heard = self.members.living(now, &voters);
@@ -93,11 +95,11 @@
             return;
         }
         let (term, index) = (self.node.term(), self.node.last().index);
-        log::info!(term, index, voters:?, heard:?; "the voters as this node sees them");
+        log::info!(term, index, voters:?, heard:?; "the voters or the reachable ones among them changed");
         self.voting = (voters, heard);
     }
 
-    /// Shows who leads and votes, when that changes.
+    /// Publishes this node's status in the cluster when it changes.
     fn show_seat(&mut self, now: Now) {
         let seat = Seat {
             leader: self.node.leader(),
@@ -112,14 +114,15 @@
         });
     }
 
-    /// Whether another node could vote in this one's place, or does already and the list wants
-    /// shortening: until then a majority of the longer list counts this node in.
+    /// Whether another node can take this node's vote, or the voter list is longer than it should
+    /// be. In that case another node votes already, but a majority of the longer list still counts
+    /// this node in.
     fn has_substitute(&self, now: Now) -> bool {
         let voters = self.node.voters();
         voters.len() > self.voters || self.members.has_spare(now, voters)
     }
 
-    /// Sets the gauges.
+    /// Updates the gauges.
     fn measure(&self) {
         let metrics = &self.ports.metrics;
         let scheduler = self.scheduler.as_ref();
@@ -169,12 +172,12 @@
             self.dial(node);
         }
         if new {
-            // Whoever is new must be reached by all before the next loss.
+            // All nodes must be able to reach a new node before the next node is lost.
             self.view_due = None;
         }
     }
 
-    /// Tells every linked node what this one knows, from time to time and when it changes.
+    /// Broadcasts this node's view to every linked node, at intervals and when it changes.
     pub(super) fn tell(&mut self) {
         let now = self.now();
         let leader = self.node.leader();
@@ -212,7 +215,7 @@
             self.consensus(consensus::Input::Nodes(places));
         }
         if !known {
-            log::info!(term = view.term, leader; "who leads has changed");
+            log::info!(term = view.term, leader; "the leader changed");
         }
         let frame: Bytes = Frame::View(view.clone()).encode();
         for peer in self.ports.mesh.peers() {
--- a/src/manager/ports.rs
+++ b/src/manager/ports.rs
@@ -1,7 +1,7 @@
-//! What a control node is given: its settings, and ways to speak to the outside.
+//! The settings of a control node and its connections to the outside.
 //!
-//! Everything outside is handed in as a closure or a channel, so that a control node knows no
-//! protocol but its own.
+//! Everything outside is passed in as a closure or a channel, so that a control node depends on no
+//! protocol except its own.
 
 use std::{path::PathBuf, pin::Pin, sync::Arc, time::Duration};
 
@@ -20,60 +20,62 @@
     },
 };
 
-/// Carries out an order; resolves when it is answered or given up.
+/// Executes an order. The future resolves with the answer, or when the order is given up.
 pub type Perform = Arc<dyn Fn(Order) -> Pin<Box<dyn Future<Output = Answer> + Send>> + Send + Sync>;
-/// Reads the text of a catalog; what is wrong with it if it can't be.
+/// Decodes the text of a catalog, or returns what is wrong with it.
 pub type Decode = Arc<dyn Fn(&[u8]) -> Result<Catalog, String> + Send + Sync>;
 
-/// How a control node is set up.
+/// The settings of a control node.
 pub struct Config {
-    /// Its consensus.
+    /// The settings of consensus.
     pub consensus: consensus::Config,
-    /// What its disk held.
+    /// The state restored from the disk.
     pub restored: Restored,
-    /// Its disk.
+    /// The disk.
     pub disk: Disk,
-    /// Its data folder.
+    /// The data folder.
     pub folder: PathBuf,
-    /// Its data centre.
+    /// The data centre of this node.
     pub data_centre: DataCentreId,
-    /// The port of every node's mesh.
+    /// The port that every node's mesh listens on.
     pub mesh_port: u16,
     /// How many nodes should vote.
     pub voters: usize,
-    /// How long a voter may be silent before another node takes its place.
+    /// How long a voter may be silent before another node replaces it.
     pub silence: Duration,
-    /// The scheduler's.
+    /// The settings of the scheduler.
     pub scheduler: Settings,
 }
 
-/// What a control node is to the others.
+/// The status of a control node in the cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Seat {
-    /// Who leads.
+    /// The leader, if it is known.
     pub leader: Option<NodeId>,
     /// Whether this node votes.
     pub votes: bool,
     /// Whether it is about to end.
     pub leaving: bool,
-    /// Whether another could vote in its place then, or is about to.
+    /// Whether another node can vote in this node's place when it ends, or has already been added
+    /// for that.
     pub spare: bool,
 }
 
-/// What a control node speaks to.
+/// The connections of a control node to the outside.
 pub struct Ports {
-    /// The other nodes.
+    /// The mesh that links it with the other nodes.
     pub mesh: Arc<Mesh>,
-    /// Carries out orders.
+    /// Executes orders.
     pub perform: Perform,
-    /// How long that takes at most for an order to an agent, beyond what its answer may wait.
+    /// Time limit of an exchange with an agent, in addition to the time for which the agent may
+    /// hold back its answer.
     pub exchange: Duration,
-    /// Reads catalogs.
+    /// Decodes catalogs.
     pub decode: Decode,
-    /// What is counted.
+    /// The metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Told what this node is to the others.
+    /// Receives the status of this node whenever it changes.
     pub seat: watch::Sender<Seat>,
-    /// Told why the process must stop.
+    /// Receives the reason why the process must stop.
     pub fatal: mpsc::UnboundedSender<String>,
 }
--- a/src/manager/questions.rs
+++ b/src/manager/questions.rs
@@ -1,4 +1,5 @@
-//! What a control node is asked: the leader answers, all others say who leads.
+//! Handles the requests to a control node. The leader answers them; other nodes reply with who
+//! leads.
 
 use std::time::Duration;
 
@@ -53,8 +54,8 @@
         }
     }
 
-    /// An agent says that it ends. Its name alone doesn't tell which incarnation has: one that never said
-    /// that it would may be the next.
+    /// Handles an agent's notice that it ends. The name alone doesn't tell which incarnation sent
+    /// it. An incarnation that never announced its end may be the next one, so it isn't ended.
     fn agent_left(&mut self, asker: Asker, name: &Name) {
         let left =
             |agent: &&AgentRecord| agent.name() == name && (agent.leaving || agent.id == *name);
@@ -64,7 +65,7 @@
             .find(left)
             .map(|agent| agent.id.clone());
         let Some(id) = left else {
-            log::info!(agent:% = name; "an agent has said good-bye that never said it would leave");
+            log::info!(agent:% = name; "ignored the end of an agent that never announced it");
             return self.reply(asker, Reply::Done);
         };
         self.propose(asker, Command::Gone(id));
@@ -73,7 +74,7 @@
     fn declare(&mut self, asker: Asker, document: Document) {
         let held = self.ledger.document().map_or(0, |d| d.version);
         if self.ledger.document().is_some() && document.version <= held {
-            // Acknowledged and without effect.
+            // A version that isn't newer has no effect, but is acknowledged.
             return self.reply(asker, Reply::Done);
         }
         self.propose(asker, Command::Declare(document));
@@ -87,7 +88,7 @@
             return self.reply(asker, Reply::Unknown(Unknown::Queue));
         };
         let Ok(caller) = catalog.caller(queue, call.key) else {
-            log::info!(queue:% = queue.name, verb = call.verb.word(), shown = call.key.is_some(); "a call showed no key that holds");
+            log::info!(queue:% = queue.name, verb = call.verb.word(), shown = call.key.is_some(); "refused a call without a valid key for the queue");
             return self.reply(asker, Reply::Denied);
         };
         let seen = |job: &&Job| catalog.may_see(caller, job);
@@ -150,7 +151,7 @@
         self.propose(asker, Command::Submit(Box::new(submission)));
     }
 
-    /// When to come back with a job that isn't accepted, as the leader decides.
+    /// When to retry a job that the leader doesn't accept now; `None` if it is accepted.
     fn comeback(&self, submission: &Submission) -> Option<Duration> {
         let scheduler = self.scheduler.as_ref()?;
         scheduler.comeback(self.now(), &self.ledger, submission, self.submitting.len())
@@ -180,7 +181,7 @@
 
     fn beat(&mut self, asker: Asker, beat: &Beat) {
         if let Some(why) = self.is_foreign(&beat.agent) {
-            log::info!(agent:% = beat.agent.id, why; "a heartbeat was refused");
+            log::info!(agent:% = beat.agent.id, why; "refused a heartbeat");
             return self.reply(asker, Reply::Invalid(why));
         }
         let now = self.now();
@@ -194,14 +195,14 @@
         }
     }
 
-    /// Why a heartbeat can't be of an agent of these pools, if it can't. An incarnation keeps its
-    /// pool, and one that is known may go on though its pool was taken from the catalog.
+    /// Why an agent's heartbeat doesn't fit the pools, if it doesn't. An incarnation keeps its
+    /// pool, and a known one may go on even if the catalog no longer has its pool.
     fn is_foreign(&mut self, record: &AgentRecord) -> Option<String> {
         if let Some(known) = self.ledger.agent(&record.id) {
             let same = known.pool == record.pool;
             return (!same).then(|| format!("service: it was {} before", known.pool));
         }
-        // Before the first catalog any pool may turn out to be one of it.
+        // Before the first catalog, any pool may turn out to be in it.
         let catalog = self.read_catalog()?;
         let known = catalog.has_pool(&record.pool);
         (!known).then(|| format!("service: the catalog has no {}", record.pool))
--- a/src/manager/relays.rs
+++ b/src/manager/relays.rs
@@ -1,24 +1,27 @@
-//! Control nodes that carry the leader's orders to agents.
+//! Control nodes that execute the leader's orders to agents.
 //!
-//! One node leads, and with a thousand agents nearly all of its processor went into the exchanges with
-//! them while its peers idled. So the leader only decides: an order to an agent goes to a *relay*,
-//! another control node, which has the exchange and sends back what came of it. What is decided in one
-//! turn goes to each relay in one message, and so does what was answered in one turn of the relay. The
-//! relay of an agent stands in the agent's data centre where there is one, so that the exchange crosses
-//! no border.
+//! One node leads. With a thousand agents, nearly all of its processor time went into the exchanges
+//! with them while the other control nodes were idle. So the leader only decides. It passes an
+//! order to an agent on to a *relay*, another control node, which does the exchange and returns the
+//! answer. All orders that one turn of the leader decides for a relay travel in one message, and so
+//! do all answers of one turn of the relay. If possible, the relay of an agent is in the agent's
+//! data centre, so that the exchange doesn't cross between data centres.
 //!
-//! # What keeps it safe
+//! # Safety
 //!
-//! A relay decides nothing and repeats nothing, so that an order through it is an order that may be
-//! late, or be lost, or whose answer may be, as any order to an agent may. The scheduler reckons with
-//! all of these. An order that a relay carries out late, because it stood still meanwhile, meets what
-//! any late order meets at its agent: the number of a later term, the number of a later attempt, or the
-//! end of the lease that it carries. A relay that knows of a later term carries out nothing for an
-//! earlier leader.
+//! A relay decides nothing and retries nothing. An order through a relay can be late or lost, and
+//! so can its answer, but the same is true of any order to an agent, and the scheduler takes all of
+//! these cases into account. A relay that was suspended may execute an order late. The agent
+//! handles it as any late order: it compares the term and the attempt number with later ones that
+//! it has seen, and checks the end of the lease that the order carries. A relay that knows of a
+//! later term executes nothing for an earlier leader.
 //!
-//! What a relay hasn't answered in time got no answer, and it isn't trusted for a while. The leader
-//! then carries out the orders of its share by itself, and so it does for an agent whose last order
-//! through a relay got no answer: the way to it may be open from here.
+//! # Failures
+//!
+//! An order that a relay hasn't answered in time counts as unanswered, and the relay isn't trusted
+//! for a while. Other relays or the leader itself execute its share meanwhile. The leader also
+//! executes the orders to an agent whose last order through a relay got no answer, since it may
+//! reach the agent where the relay can't.
 //!
 //! ```
 //! use std::time::Duration;
@@ -47,7 +50,7 @@
 //! assert_eq!(relays.choose(now, 1.0, &what), Some(2));
 //! relays.distrust(now, 2);
 //! assert_eq!(relays.choose(now, 1.0, &what), Some(1));
-//! // While the leader has time it does all by itself.
+//! // While the leader has time to spare, it executes all orders itself.
 //! assert_eq!(relays.choose(now, 0.0, &what), None);
 //! ```
 
@@ -62,26 +65,26 @@
     workload::scheduler::{Order, OrderId, What},
 };
 
-/// What is added to the time that an exchange with an agent may take, for the two ways through the
-/// mesh and a turn at each end of them: a full relay's turns take up to 20 ms.
+/// Added to the time limit of an exchange with an agent, for both ways through the mesh and a turn
+/// at each end. The turns of a fully loaded relay take up to 20 ms.
 const WAYS: Duration = Duration::from_millis(300);
-/// How long a relay isn't trusted the first time that it leaves an order unanswered: longer than a
-/// link that went silent takes to be dialled anew. Doubles each time up to eight times that.
+/// How long a relay isn't trusted after it first leaves an order unanswered. Longer than it takes
+/// to redial a silent link. Doubles with each repetition up to eight times this value.
 const DISTRUST: Duration = Duration::from_secs(2);
-/// How many numbers addresses are spread over.
+/// Number of buckets that agents' addresses are spread over.
 const NUMBERS: u32 = 1 << 16;
-/// A relay that answered for so long after it was trusted again starts anew.
+/// A relay that answers for this long after it is trusted again starts with no failures.
 const PROVEN: Duration = Duration::from_secs(20);
 
 /// A relay that left orders unanswered.
 #[derive(Clone, Copy, Debug)]
 struct Distrust {
     until: Now,
-    /// How often in a row.
+    /// Consecutive failures before this one.
     times: u32,
 }
 
-/// An order that is under way through a relay.
+/// An order that a relay is executing.
 #[derive(Clone, Copy, Debug)]
 struct Carried {
     relay: NodeId,
@@ -90,30 +93,30 @@
     due: Now,
 }
 
-/// The relays of a leader, and what they carry.
+/// The relays of a leader and their orders.
 #[derive(Clone, Debug, Default)]
 pub struct Relays {
-    /// The nodes that carry, in order.
+    /// The nodes that execute orders as relays, sorted.
     nodes: Vec<(NodeId, DataCentreId)>,
     distrusted: Map<NodeId, Distrust>,
     carried: Map<OrderId, Carried>,
     agenda: BTreeSet<(Now, OrderId)>,
-    /// What each relay is to carry next.
+    /// The orders to send to each relay next.
     batches: Map<NodeId, Vec<Order>>,
-    /// Agents whose last order through a relay got no answer.
+    /// Addresses of agents whose last order through a relay got no answer.
     unreached: Set<SocketAddr>,
-    /// Orders to those that went out from here.
+    /// Orders to such agents that the leader executes itself.
     here: Map<OrderId, SocketAddr>,
 }
 
 impl Relays {
-    /// These nodes carry from now on.
+    /// Replaces the nodes that execute orders as relays.
     pub fn set(&mut self, mut nodes: Vec<(NodeId, DataCentreId)>) {
         nodes.sort_unstable();
         self.nodes = nodes;
     }
 
-    /// This node leads anew; nothing that was carried before is waited for.
+    /// Resets the state when this node becomes leader again. Earlier orders aren't waited for.
     pub fn begin(&mut self) {
         let nodes = std::mem::take(&mut self.nodes);
         *self = Self {
@@ -122,8 +125,9 @@
         };
     }
 
-    /// The relay for an order, if it is to an agent whose orders are among the `share` that others carry,
-    /// and one is trusted.
+    /// Returns the relay for an order. Returns `None` if the leader should execute it: the order
+    /// isn't to an agent, the agent isn't in the `share` of agents that relays serve, or no relay
+    /// is trusted or reaches the agent.
     pub fn choose(&self, now: Now, share: f64, what: &What) -> Option<NodeId> {
         let to = what.target()?;
         let number = number(to.address);
@@ -141,7 +145,8 @@
         nearest.or_else(any).map(|(node, _)| *node)
     }
 
-    /// Has a relay carry an order to an agent, whose exchange takes so long at most.
+    /// Assigns an order to a relay. `exchange` is the time limit of the relay's exchange with the
+    /// agent.
     pub fn carry(&mut self, now: Now, relay: NodeId, exchange: Duration, order: Order) {
         let Some(to) = order.what.target().map(|to| to.address) else {
             return;
@@ -152,15 +157,15 @@
         self.batches.entry(relay).or_default().push(order);
     }
 
-    /// What is to be sent to each relay.
+    /// Takes the orders to send to each relay.
     pub fn take_batches(&mut self) -> Vec<(NodeId, Vec<Order>)> {
         let mut batches: Vec<_> = self.batches.drain().collect();
         batches.sort_unstable_by_key(|(relay, _)| *relay);
         batches
     }
 
-    /// A relay answered an order; whether that is still waited for. `reached` says whether the agent
-    /// answered the relay.
+    /// Records a relay's answer to an order. Returns whether the answer is still waited for.
+    /// `reached` says whether the agent answered the relay.
     pub fn answered(&mut self, relay: NodeId, order: OrderId, reached: bool) -> bool {
         let Some(carried) = self.carried.get(&order).copied() else {
             return false;
@@ -176,7 +181,7 @@
         true
     }
 
-    /// An order to an agent that its relay doesn't reach goes out from here.
+    /// Records that the leader executes an order to an agent that its relay doesn't reach.
     pub fn send_here(&mut self, order: &Order) {
         let to = order.what.target().map(|to| to.address);
         if let Some(to) = to.filter(|to| self.unreached.contains(to)) {
@@ -184,8 +189,8 @@
         }
     }
 
-    /// An order that went out from here was answered, or not; if so, the agent's next one may go through
-    /// its relay again.
+    /// Records the outcome of an order that the leader executed itself. If the agent answered, its
+    /// next order may go through its relay again.
     pub fn answered_here(&mut self, order: OrderId, reached: bool) {
         let to = self.here.remove(&order);
         if let Some(to) = to.filter(|_| reached) {
@@ -193,8 +198,8 @@
         }
     }
 
-    /// The orders that their relays have left unanswered for too long. Whoever left one unanswered is
-    /// not trusted, and all that it carries got no answer.
+    /// Returns the orders that their relays left unanswered for too long. Such a relay isn't
+    /// trusted for a while, and all other orders that it has count as unanswered as well.
     pub fn expire(&mut self, now: Now) -> Vec<OrderId> {
         let mut late = Set::default();
         while let Some((due, order)) = self.agenda.first().copied() {
@@ -224,13 +229,13 @@
         lost
     }
 
-    /// Doesn't trust a relay for a while.
+    /// Stops using a relay for a while.
     pub fn distrust(&mut self, now: Now, relay: NodeId) {
         let before = self.distrusted.get(&relay);
         let recent = before.filter(|before| now < before.until + PROVEN);
         let times = recent.map_or(0, |before| before.times + 1);
         let until = now + DISTRUST * 2_u32.pow(times.min(3));
-        log::warn!(relay; "a control node left orders unanswered; others carry its share");
+        log::warn!(relay; "a relay left orders unanswered; it isn't used for a while");
         self.distrusted.insert(relay, Distrust { until, times });
         self.batches.remove(&relay);
     }
@@ -241,7 +246,8 @@
     }
 }
 
-/// A number below [`NUMBERS`] that spreads addresses evenly, the same in every process.
+/// Maps an address to a bucket below [`BUCKETS`]. Spreads addresses evenly and is the same in every
+/// process.
 fn number(address: SocketAddr) -> u32 {
     let ip = match address.ip() {
         IpAddr::V4(ip) => u32::from(ip),
@@ -249,6 +255,6 @@
         IpAddr::V6(ip) => u32::from(ip.segments()[7]),
     };
     let mixed = ip.wrapping_add(u32::from(address.port()));
-    // Fibonacci hashing; neighbours end up far apart.
+    // Fibonacci hashing spreads neighbouring addresses far apart.
     mixed.wrapping_mul(0x9e37_79b9) >> 16
 }
--- a/src/manager/waiting.rs
+++ b/src/manager/waiting.rs
@@ -1,4 +1,4 @@
-//! Those who wait for a command to be committed.
+//! Proposals that aren't known to be committed yet, and where their replies go.
 
 use std::collections::BTreeMap;
 
@@ -11,36 +11,38 @@
     workload::command::Command,
 };
 
-/// Who asked, and how it is told.
+/// Where the reply to a request goes.
 #[derive(Debug)]
 pub(super) enum Asker {
-    /// Somebody in this process.
+    /// To a requester in this process.
     Here(oneshot::Sender<Reply>),
-    /// Another node.
+    /// To another node.
     There(NodeId, AskId),
-    /// Nobody: the scheduler proposed it.
+    /// Nowhere: the scheduler made the proposal.
     Nobody,
-    /// This node, which wants other voters.
+    /// Nowhere: this node proposed a change of the voters.
     Membership,
 }
 
-/// Something that was proposed.
+/// A proposal that hasn't been applied.
 #[derive(Debug)]
 struct Proposed {
     asker: Asker,
-    /// What was, unless consensus alone has to understand it. Kept until it is applied here, so that
-    /// its proposer needn't read its own writing: that is a thirtieth of a busy leader's time, in
-    /// which an entry has the ends and starts of a hundred tasks.
+    /// The command, unless only consensus has to understand the proposal. It is kept until the
+    /// entry is applied here, so that the proposer doesn't decode its own payload. Decoding takes a
+    /// thirtieth of a busy leader's time, whose entries each hold the ends and starts of a hundred
+    /// tasks.
     command: Option<Command>,
 }
 
-/// An entry that somebody waited for was applied.
+/// A proposal whose log index was applied.
 #[derive(Debug)]
 pub(super) struct Applied {
     pub(super) asker: Asker,
-    /// Whether the entry is what was proposed, and not another in its place.
+    /// Whether the applied entry is the proposed one. `false` if another leader's entry took its
+    /// index.
     pub(super) own: bool,
-    /// What was proposed, if that is the entry.
+    /// The proposed command, if the applied entry is the proposed one.
     pub(super) command: Option<Command>,
 }
 
@@ -53,26 +55,27 @@
 }
 
 impl Waiting {
-    /// Takes on an asker and its command, if it has one; returns the number of the proposal.
+    /// Registers a proposal with its command, if it has one. Returns the number of the proposal.
     pub(super) fn propose(&mut self, asker: Asker, command: Option<Command>) -> u64 {
         self.last += 1;
         self.proposed.insert(self.last, Proposed { asker, command });
         self.last
     }
 
-    /// The proposal has a place in the log. Returns who waited for that place in vain.
+    /// Records the log index that the proposal was appended at. Returns where to reply for an
+    /// earlier proposal that had the same index and was overwritten.
     pub(super) fn placed(&mut self, proposal: u64, term: Term, index: Index) -> Option<Asker> {
         let proposed = self.proposed.remove(&proposal)?;
         let before = self.placed.insert(index, (term, proposed));
         before.map(|(_, before)| before.asker)
     }
 
-    /// The proposal wasn't appended.
+    /// Removes a proposal that wasn't appended. Returns where to reply.
     pub(super) fn rejected(&mut self, proposal: u64) -> Option<Asker> {
         self.proposed.remove(&proposal).map(|before| before.asker)
     }
 
-    /// An entry is being applied. Returns who waited for its place, and whether it is theirs.
+    /// Removes the proposal at the index that is being applied, if there is one.
     pub(super) fn applied(&mut self, term: Term, index: Index) -> Option<Applied> {
         let (placed, Proposed { asker, command }) = self.placed.remove(&index)?;
         let own = placed == term;
@@ -83,7 +86,8 @@
         })
     }
 
-    /// Gives up on all that wait: whether their commands are committed is for others to know.
+    /// Removes all proposals and returns where to reply. Only later leaders learn whether they are
+    /// committed.
     pub(super) fn abandon(&mut self) -> Vec<Asker> {
         let placed = std::mem::take(&mut self.placed);
         let placed = placed.into_values().map(|(_, placed)| placed);
--- a/tests/manager/cluster.rs
+++ b/tests/manager/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster's id, as a control node makes it and keeps it.
+//! How a control node creates and saves the cluster id.
 
 use std::fs;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_id_is_made_only_when_all_can_read_it() {
+fn an_id_is_created_only_when_all_nodes_can_decode_it() {
     let said = |node: NodeId| (node != 3).then_some(node + 40);
     let made = founders(&[1, 2], &[4], said).unwrap();
     assert_eq!(
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_folder_keeps_its_cluster() {
+fn a_folder_stores_its_cluster() {
     let folder = tempfile::tempdir().unwrap();
     assert_eq!(recall(folder.path()).unwrap(), None);
     keep(folder.path(), &cluster(7)).unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_first_id_of_a_ledger_stays_and_is_in_its_image() {
+fn the_first_id_of_a_ledger_stays_and_is_in_its_snapshot() {
     let mut ledger = Ledger::default();
     assert_eq!(ledger.cluster(), None);
     for (index, id) in [(1, 7), (2, 8)] {
@@ -58,9 +58,9 @@
     assert_eq!(restored.cluster(), Some(&cluster(7)));
 }
 
-/// Earlier releases wrote images that have no such field.
+/// Earlier releases wrote snapshots without the `cluster` field.
 #[test]
-fn an_image_of_an_earlier_release_has_no_id() {
+fn a_snapshot_of_an_earlier_release_has_no_id() {
     let image = Ledger::default().image();
     let mut value: ciborium::Value = ciborium::from_reader(image.as_ref()).unwrap();
     let fields = value.as_map_mut().unwrap();
--- a/tests/manager/main.rs
+++ b/tests/manager/main.rs
@@ -1,4 +1,4 @@
-//! The parts of control nodes that decide without a process around them.
+//! Tests of the parts of control nodes that need no running process.
 
 mod cluster;
 mod membership;
--- a/tests/manager/membership.rs
+++ b/tests/manager/membership.rs
@@ -11,10 +11,10 @@
 };
 
 const NOW: Now = Duration::from_secs(30);
-/// Long enough for a node that isn't heard to count as dead.
+/// Long enough for a node without contact to count as dead.
 const LONG: Duration = Duration::from_secs(3);
 
-/// The node at a host whose folder has never been lost.
+/// The first node at a host, with folder number 0.
 fn node(host: u8) -> NodeId {
     node_id([10, 0, 0, host].into(), 0)
 }
@@ -23,7 +23,7 @@
     hosts.map(node)
 }
 
-/// The nodes at the hosts 1, 2, 3 and so on, heard at a time, each in the data centre named.
+/// Members at hosts 1, 2, 3 and so on, one for each data centre in `centres`, all heard from at `at`.
 fn heard(at: Now, centres: &[&str]) -> Members {
     let mut members = Members::default();
     for (host, centre) in (1..).zip(centres) {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_silent_voter_is_replaced_by_a_node_that_lives() {
+fn a_silent_voter_is_replaced_by_an_alive_node() {
     let mut members = heard(NOW, &["a", "b", "c", "d"]);
     let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 4]).to_vec()));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_silent_voter_stays_while_no_other_node_lives() {
+fn a_silent_voter_stays_while_no_other_node_is_alive() {
     let mut members = heard(NOW, &["a", "b", "c"]);
     members.told(NOW, node(4), "d".into());
     assert_eq!(
@@ -105,21 +105,21 @@
 }
 
 #[test]
-fn a_node_that_came_to_nothing_is_the_last_choice_for_a_while() {
+fn a_node_that_failed_to_join_is_the_last_choice_for_a_while() {
     let mut members = heard(NOW, &["a", "b", "c", "d", "e"]);
     let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 4]).to_vec()));
     members.came_to_nothing(NOW);
     let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 5]).to_vec()));
-    // The one choice that there is, is taken all the same.
+    // It is still chosen if there is no other.
     members.heard(NOW, node(5), "e".into(), true);
     let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 4]).to_vec()));
 }
 
 #[test]
-fn a_list_that_is_too_long_is_shortened_once_all_live() {
+fn a_list_that_is_too_long_is_shortened_once_all_voters_are_alive() {
     let mut members = heard(NOW, &["a", "b", "c", "b"]);
     let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([])));
     assert_eq!(
@@ -130,11 +130,11 @@
     let mut members = heard(NOW, &["a", "b", "c"]);
     members.told(NOW, node(4), "b".into());
     let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([])));
-    assert_eq!(wanted, None, "a dead one may be among them");
+    assert_eq!(wanted, None, "one of the voters may be dead");
 }
 
 #[test]
-fn a_node_just_heard_is_chosen_before_one_that_may_have_gone_with_the_lost_one() {
+fn a_recently_heard_node_is_preferred_to_one_that_may_be_lost_too() {
     let mut members = heard(NOW, &["a", "b", "c", "d", "a"]);
     let later = NOW + Duration::from_millis(1500);
     for host in [1, 2, 5] {
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn who_is_merely_told_of_is_not_told_of_for_ever() {
+fn a_node_that_was_only_mentioned_is_not_announced_and_is_forgotten() {
     let mut members = heard(NOW, &["a"]);
     members.told(NOW, node(2), "b".into());
     assert_eq!(members.all(NOW), [(node(1), "a".into())]);
--- a/tests/manager/relays.rs
+++ b/tests/manager/relays.rs
@@ -1,4 +1,4 @@
-//! Which control node carries an order, and what becomes of orders that none has carried.
+//! Which relay executes an order, and what happens to orders that a relay leaves unanswered.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,7 +14,7 @@
 };
 
 const EXCHANGE: Duration = Duration::from_millis(500);
-/// Relays in the east and the west.
+/// Relays in the data centres `east` and `west`.
 const EAST: NodeId = 1;
 const WEST: NodeId = 2;
 
@@ -28,7 +28,7 @@
     ([10, 0, 0, host], 80).into()
 }
 
-/// A stop at an agent in the west, or a renewal that waits.
+/// An order to an agent in the west: a renewal whose answer may wait for `wait`, or else a stop.
 fn order(id: OrderId, host: u8, wait: Option<Duration>) -> Order {
     let to = Target {
         agent: format!("a{host}").as_str().into(),
@@ -51,7 +51,7 @@
     Order { id, term: 1, what }
 }
 
-/// Gives an order to the relay that is chosen for it; which.
+/// Assigns an order to the relay that is chosen for it. Returns the relay.
 fn carry(relays: &mut Relays, now: Now, order: Order) -> Option<NodeId> {
     let relay = relays.choose(now, 1.0, &order.what)?;
     relays.carry(now, relay, EXCHANGE, order);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_a_relay_leaves_unanswered_is_lost_with_all_that_it_carries() {
+fn all_orders_of_a_relay_expire_when_it_leaves_one_unanswered() {
     let (mut relays, now) = (relays(), Duration::from_secs(9));
     assert_eq!(carry(&mut relays, now, order(1, 7, None)), Some(WEST));
     let wait = Some(Duration::from_millis(700));
@@ -74,7 +74,7 @@
     assert_eq!(relays.expire(late), [1, 2]);
     assert!(
         !relays.answered(WEST, 1, true),
-        "nobody waits for it any more"
+        "the answer isn't waited for any more"
     );
     let next = order(3, 7, None);
     assert_eq!(relays.choose(late, 1.0, &next.what), Some(EAST));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_relay_that_fails_again_and_again_is_left_for_longer() {
+fn a_relay_that_fails_repeatedly_is_avoided_for_longer() {
     let (mut relays, mut now) = (relays(), Duration::from_secs(9));
     let what = order(1, 7, None).what;
     let mut left = Vec::new();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_agent_that_its_relay_does_not_reach_is_called_from_here_until_it_answers() {
+fn the_leader_calls_an_agent_that_its_relay_does_not_reach_until_it_answers() {
     let (mut relays, now) = (relays(), Duration::from_secs(9));
     carry(&mut relays, now, order(1, 7, None));
     assert!(relays.answered(WEST, 1, false));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn only_the_relay_that_carries_an_order_answers_it_and_only_once() {
+fn only_the_assigned_relay_answers_an_order_and_only_once() {
     let (mut relays, now) = (relays(), Duration::from_secs(9));
     carry(&mut relays, now, order(1, 7, None));
     assert!(!relays.answered(EAST, 1, true));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_leader_that_begins_waits_for_nothing_that_was_carried_before() {
+fn a_new_leader_waits_for_no_earlier_order() {
     let (mut relays, now) = (relays(), Duration::from_secs(9));
     carry(&mut relays, now, order(1, 7, None));
     relays.begin();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_part_that_others_carry_grows_with_the_share() {
+fn the_number_of_orders_through_relays_grows_with_the_share() {
     let relays = relays();
     let carried = |share| {
         let hosts = 0..=255;
