--- a/src/manager/ask.rs
+++ b/src/manager/ask.rs
@@ -18,7 +18,7 @@
 /// A request to the leader.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub enum Ask {
+pub enum LeaderRequest {
     /// A caller's request.
     Call(Call),
     /// Puts a catalog in force.
@@ -26,7 +26,8 @@
     /// Reads the catalog in force.
     ReadCatalog,
     /// A heartbeat of an agent.
-    Beat(Box<Beat>),
+    #[serde(rename = "Beat")]
+    Heartbeat(Box<Heartbeat>),
     /// The agent with this name is about to end.
     Leave(Name),
     /// Starts a wave of maintenance.
@@ -57,17 +58,18 @@
     /// Submits a job.
     Submit(Box<JobSpec>),
     /// Reads a job's state, or the number of pending jobs of a queue.
-    Look,
+    #[serde(rename = "Look")]
+    Read,
     /// Cancels a job.
     Cancel,
 }
 
 impl Verb {
     /// The name of the action in logs.
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
             Self::Submit(_) => "submit",
-            Self::Look => "look",
+            Self::Read => "look",
             Self::Cancel => "cancel",
         }
     }
@@ -76,7 +78,7 @@
 /// A heartbeat of an agent.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The agent's description of itself.
     pub agent: AgentRecord,
     /// The agent's clock when it sent the heartbeat.
@@ -143,7 +145,7 @@
 
 impl Refused {
     /// The name of the reason in logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::NotLeader(_) => "not_leader",
             Self::NoLeader => "no_leader",
@@ -155,7 +157,7 @@
 
     /// When to retry: after an election, after the next round of the log, or when the waiting jobs
     /// are done.
-    pub fn comeback(self) -> Duration {
+    pub fn retry_after(self) -> Duration {
         match self {
             Self::NotLeader(_) | Self::NoLeader | Self::NoCatalog => Duration::from_secs(1),
             Self::Overloaded => Duration::from_millis(500),
--- a/src/manager/cluster.rs
+++ b/src/manager/cluster.rs
@@ -18,9 +18,9 @@
 use snafu::ResultExt;
 
 use super::{
-    control::{Input, Task},
+    control::{ControlTask, Input},
     identity::{self, AccessSnafu, ClusterSnafu, IdentityError},
-    waiting::Asker,
+    waiting::ReplyTo,
 };
 use crate::core::{
     cluster::{Cluster, FolderId, Founder},
@@ -29,29 +29,29 @@
 };
 
 /// The file in the data folder that holds the cluster.
-const FILE: &str = "cluster";
+const FILE_NAME: &str = "cluster";
 /// Time between two proposals of a cluster id until one is applied, and between two attempts to
 /// save it.
-const PAUSE: Now = Now::from_secs(2);
+const RETRY_INTERVAL: Now = Now::from_secs(2);
 
 /// Whether the cluster is saved in the data folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kept {
+pub(super) enum SaveState {
     /// The cluster isn't known yet, or saving it failed and is retried.
-    No {
+    Unsaved {
         /// The earliest time of the next attempt.
         due: Now,
     },
     /// The file is being written.
-    UnderWay,
+    Saving,
     /// The file is on the disk.
-    Yes,
+    Saved,
 }
 
-impl Kept {
+impl SaveState {
     /// Whether to save the cluster now, provided that it is known.
     pub(super) fn is_due(self, now: Now) -> bool {
-        matches!(self, Self::No { due } if now >= due)
+        matches!(self, Self::Unsaved { due } if now >= due)
     }
 }
 
@@ -60,8 +60,8 @@
 /// # Errors
 ///
 /// The file can't be read, or its content isn't a cluster.
-pub fn recall(folder: &Path) -> Result<Option<Cluster>, IdentityError> {
-    let path = folder.join(FILE);
+pub fn load(folder: &Path) -> Result<Option<Cluster>, IdentityError> {
+    let path = folder.join(FILE_NAME);
     let text = match fs::read(&path) {
         Ok(text) => text,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -76,10 +76,10 @@
 /// # Errors
 ///
 /// The file can't be written.
-pub fn keep(folder: &Path, cluster: &Cluster) -> Result<(), IdentityError> {
-    let path = folder.join(FILE);
+pub fn save(folder: &Path, cluster: &Cluster) -> Result<(), IdentityError> {
+    let path = folder.join(FILE_NAME);
     let text = serde_json::to_string(cluster).expect("a cluster can always be serialized");
-    identity::keep(folder, &path, &text).context(AccessSnafu { path })
+    identity::write_file(folder, &path, &text).context(AccessSnafu { path })
 }
 
 /// Returns the founders of a new cluster, one for each voter.
@@ -98,13 +98,13 @@
 pub fn founders(
     voters: &[NodeId],
     others: &[NodeId],
-    said: impl Fn(NodeId) -> Option<FolderId>,
+    folder_of: impl Fn(NodeId) -> Option<FolderId>,
 ) -> Option<Vec<Founder>> {
-    if others.iter().any(|node| said(*node).is_none()) {
+    if others.iter().any(|node| folder_of(*node).is_none()) {
         return None;
     }
     let founder = |node: &NodeId| {
-        let folder = said(*node)?;
+        let folder = folder_of(*node)?;
         Some(Founder {
             node: *node,
             folder,
@@ -113,79 +113,80 @@
     voters.iter().map(founder).collect()
 }
 
-impl Task {
+impl ControlTask {
     /// Proposes a cluster id if this node leads a cluster that has none and every control node can
     /// decode the entry.
-    pub(super) fn found(&mut self, now: Now) {
-        let due = self.found_due.is_none_or(|due| now >= due);
+    pub(super) fn propose_cluster(&mut self, now: Now) {
+        let due = self.cluster_due.is_none_or(|due| now >= due);
         if !due || self.ledger.cluster().is_some() {
             return;
         }
         let me = self.ports.mesh.claim();
-        let others = self.members.others(now, me.node);
+        let others = self.members.fresh_peers(now, me.node);
         let others: Vec<_> = others.into_iter().map(|(node, _)| node).collect();
-        let said = |node| {
+        let folder_of = |node| {
             if node == me.node {
                 return me.folder;
             }
             self.ports.mesh.said(node)?.folder
         };
-        let Some(founders) = founders(self.node.voters(), &others, said) else {
+        let Some(founders) = founders(self.node.voters(), &others, folder_of) else {
             return;
         };
-        self.found_due = Some(now + PAUSE);
-        let cluster = self.told().unwrap_or_else(|| Cluster {
+        self.cluster_due = Some(now + RETRY_INTERVAL);
+        let cluster = self.reported_cluster().unwrap_or_else(|| Cluster {
             // The keys of the standard hasher come from the system's random number generator.
             id: RandomState::new().hash_one(&founders),
             founders,
         });
         log::info!(cluster = cluster.id; "proposing a cluster id");
-        self.propose(Asker::Nobody, Command::Found(cluster));
+        self.propose(ReplyTo::Discard, Command::Found(cluster));
     }
 
     /// The cluster that another voter reports. A node of an earlier release may have skipped the id
     /// while it restored a snapshot. When that node leads with a later release, it must propose the
     /// same id, not a second one.
-    fn told(&self) -> Option<Cluster> {
-        let said = |node: &NodeId| self.ports.mesh.said(*node)?.cluster;
-        self.node.voters().iter().find_map(said)
+    fn reported_cluster(&self) -> Option<Cluster> {
+        let reported = |node: &NodeId| self.ports.mesh.said(*node)?.cluster;
+        self.node.voters().iter().find_map(reported)
     }
 
     /// Adopts the cluster that the ledger names, and saves it.
-    pub(super) fn join(&mut self) {
+    pub(super) fn adopt_cluster(&mut self) {
         let Some(cluster) = self.ledger.cluster().cloned() else {
             return;
         };
         self.ports.mesh.join(cluster.clone());
         let held = self.ports.mesh.claim().cluster;
         if held.as_ref().is_some_and(|held| held.id != cluster.id) {
-            let why = "the log belongs to another cluster than the data folder; empty the data folder";
+            let why =
+                "the log belongs to another cluster than the data folder; empty the data folder";
             return self.fail(why.to_owned());
         }
         let Some(inbox) = self.sender.upgrade() else {
             return;
         };
-        if !self.kept.is_due(self.now()) {
+        if !self.save_state.is_due(self.now()) {
             return;
         }
-        self.kept = Kept::UnderWay;
+        self.save_state = SaveState::Saving;
         let folder = self.folder.clone();
         // Runs on a thread of its own, so that a slow disk doesn't block the control task.
         tokio::task::spawn_blocking(move || {
-            let kept = keep(&folder, &cluster).map_err(|error| error.to_string());
+            let result = save(&folder, &cluster).map_err(|error| error.to_string());
             // The send fails only when the control task has ended.
-            let _ = inbox.blocking_send(Input::Kept(kept).into());
+            let _ = inbox.blocking_send(Input::ClusterSaved(result).into());
         });
     }
 
     /// Records the result of saving the cluster; schedules a retry if it failed.
-    pub(super) fn kept(&mut self, kept: Result<(), String>) {
-        self.kept = match kept {
-            Ok(()) => Kept::Yes,
+    pub(super) fn cluster_saved(&mut self, result: Result<(), String>) {
+        self.save_state = match result {
+            Ok(()) => SaveState::Saved,
             Err(error) => {
                 log::error!(error; "failed to save the cluster id; it will be tried again");
-                let due = self.now() + PAUSE;
-                Kept::No { due }
+                let due = self.now() + RETRY_INTERVAL;
+                SaveState::Unsaved { due }
             }
         };
     }
--- a/src/manager/control.rs
+++ b/src/manager/control.rs
@@ -13,15 +13,15 @@
 };
 
 use super::{
-    ask::{Ask, Refused, Reply},
-    cluster::Kept,
-    frame::{AskId, Frame, View},
+    ask::{LeaderRequest, Refused, Reply},
+    cluster::SaveState,
+    frame::{Frame, RequestId, View},
     load::Load,
     membership::Members,
-    metrics::Part,
-    ports::{Config, Ports, Seat},
+    metrics::Phase,
+    ports::{Config, ControlStatus, Ports},
     relays::Relays,
-    waiting::{Asker, Waiting},
+    waiting::{PendingProposals, ReplyTo},
 };
 use crate::{
     core::{
@@ -43,57 +43,58 @@
 /// Interval at which the timers of consensus and the scheduler are checked. Each wake-up costs
 /// processor time. A fifth of the heartbeat interval is short enough for timely elections and lease
 /// renewals.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Inputs that may wait for the task. Further ones are dropped, and their senders retry.
-const INBOX: usize = 16_384;
+const INBOX_CAPACITY: usize = 16_384;
 /// Inputs handled in one turn before their writes go to the disk.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Number of applied entries after which a snapshot is taken.
-const COMPACT: Index = 8192;
+const SNAPSHOT_ENTRIES: Index = 8192;
 /// Size of the applied entries after which a snapshot is taken, however few there are. An eighth of
 /// the smallest disk.
-const COMPACT_BYTES: usize = 16 << 20;
+const SNAPSHOT_BYTES: usize = 16 << 20;
 /// Time between two broadcasts of the view if nothing changed: for the leader, whose presence entry
 /// nodes must notice, and for the other control nodes.
-pub(super) const VIEW: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(1));
+pub(super) const VIEW_INTERVALS: (Duration, Duration) =
+    (Duration::from_millis(500), Duration::from_secs(1));
 /// Time between two checks of peers and voters.
-pub(super) const TEND: Duration = Duration::from_millis(200);
+pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Lower bound of the time without contact after which a voter counts as lost. No voter is in
 /// contact during an election.
-const LEAST_SILENCE: Duration = Duration::from_secs(1);
+const MIN_VOTER_SILENCE: Duration = Duration::from_secs(1);
 /// How long a stopping node waits for another node to lead and to vote in its place. Enough for an
 /// election and two changes of the voters.
-const LEAVE: Duration = Duration::from_millis(2500);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// An input of the control task.
 pub(super) enum Input {
     Frame(NodeId, Frame),
     Disk(DiskEvent),
-    Ask(Ask, oneshot::Sender<Reply>),
+    Request(LeaderRequest, oneshot::Sender<Reply>),
     /// The answer to an order that this node sent as the leader.
     Answered(OrderId, u64, Answer),
     /// The answer to an order that this node executed as a relay.
-    Carried {
+    RelayedAnswer {
         leader: NodeId,
         tenure: u64,
         order: OrderId,
         answer: Answer,
     },
     /// The result of writing the cluster to the data folder.
-    Kept(Result<(), String>),
+    ClusterSaved(Result<(), String>),
     Leave,
 }
 
 /// An input and the time of its arrival.
 pub(super) struct Queued {
-    came: Instant,
+    arrived_at: Instant,
     input: Input,
 }
 
 impl From<Input> for Queued {
     fn from(input: Input) -> Self {
         Self {
-            came: Instant::now(),
+            arrived_at: Instant::now(),
             input,
         }
     }
@@ -105,9 +106,9 @@
 
 impl Control {
     /// Sends a request to the task. Refuses it as overloaded if the inbox is full.
-    pub async fn ask(&self, ask: Ask) -> Reply {
+    pub async fn ask(&self, request: LeaderRequest) -> Reply {
         let (reply, answer) = oneshot::channel();
-        match self.0.try_send(Input::Ask(ask, reply).into()) {
+        match self.0.try_send(Input::Request(request, reply).into()) {
             // If the task ends without a reply, it may have proposed the command.
             Ok(()) => answer.await.unwrap_or(Reply::Unclear),
             Err(_) => Reply::Refused(Refused::Overloaded),
@@ -115,28 +116,33 @@
     }
 
     /// Passes on a message from the mesh. Drops it if the inbox is full.
-    pub fn frame(&self, from: NodeId, frame: Frame) {
+    pub fn handle_frame(&self, from: NodeId, frame: Frame) {
         // Peers repeat the messages that matter.
         let _ = self.0.try_send(Input::Frame(from, frame).into());
     }
 
     /// Gives up leadership and the vote, and waits up to a limit for other nodes to take them over,
     /// so that the cluster doesn't depend on a node which may not come back.
-    pub async fn leave(&self, mut seat: watch::Receiver<Seat>, me: NodeId, limit: Duration) {
+    pub async fn leave(
+        &self,
+        mut status: watch::Receiver<ControlStatus>,
+        me: NodeId,
+        limit: Duration,
+    ) {
         let free = async {
             // If the task has ended, it neither leads nor votes.
             if self.0.send(Input::Leave.into()).await.is_err() {
                 return;
             }
-            let free = seat.wait_for(|seat| {
-                let led = seat.leader.is_some_and(|leader| leader != me);
-                seat.leaving && led && !(seat.votes && seat.spare)
+            let free = status.wait_for(|status| {
+                let led = status.leader.is_some_and(|leader| leader != me);
+                status.leaving && led && !(status.votes && status.replaceable)
             });
             // An error means that the task has ended meanwhile, which is as good.
             drop(free.await);
         };
         // The process ends even if no other node was found.
-        let _ = tokio::time::timeout(limit.min(LEAVE), free).await;
+        let _ = tokio::time::timeout(limit.min(LEAVE_TIMEOUT), free).await;
     }
 }
 
@@ -146,7 +152,7 @@
 ///
 /// The disk thread can't be started.
 pub fn spawn(config: Config, ports: Ports) -> std::io::Result<Control> {
-    let (sender, inbox) = mpsc::channel(INBOX);
+    let (sender, inbox) = mpsc::channel(INBOX_CAPACITY);
     let weak = sender.downgrade();
     let disk = disk::spawn(config.disk, move |event| {
         if let Some(inbox) = weak.upgrade() {
@@ -157,44 +163,44 @@
     let epoch = Instant::now();
     let node = Node::new(Duration::ZERO, config.consensus, config.restored);
     let known = ports.mesh.claim().cluster.is_some();
-    let mut task = Task {
+    let mut task = ControlTask {
         epoch,
         node,
         ledger: Ledger::default(),
         catalog: None,
         scheduler: None,
-        led: Duration::ZERO,
+        lead_since: Duration::ZERO,
         tenure: 0,
-        waiting: Waiting::default(),
-        submitting: Map::default(),
+        proposals: PendingProposals::default(),
+        submissions: Map::default(),
         members: Members::default(),
-        carriers: Set::default(),
+        relay_capable: Set::default(),
         relays: Relays::default(),
-        carried: Map::default(),
-        voting: Default::default(),
+        relayed_answers: Map::default(),
+        logged_voters: Default::default(),
         data_centre: config.data_centre,
         mesh_port: config.mesh_port,
-        voters: config.voters,
-        silence: config.silence.max(LEAST_SILENCE),
+        target_voters: config.target_voters,
+        silence_limit: config.silence_limit.max(MIN_VOTER_SILENCE),
         settings: config.scheduler,
         writes: Vec::new(),
         disk,
         folder: config.folder,
-        kept: if known {
-            Kept::Yes
+        save_state: if known {
+            SaveState::Saved
         } else {
-            Kept::No {
+            SaveState::Unsaved {
                 due: Duration::ZERO,
             }
         },
-        found_due: None,
-        full: false,
-        compacted: 0,
-        bytes: 0,
+        cluster_due: None,
+        disk_full: false,
+        snapshot_index: 0,
+        applied_bytes: 0,
         leaving: false,
-        tend_due: None,
+        check_due: None,
         view_due: None,
-        view: None,
+        last_view: None,
         failed: false,
         sender: sender.downgrade(),
         load: Load::new(Arc::clone(&ports.metrics)),
@@ -207,15 +213,15 @@
 
 /// A job whose submission is proposed and not applied yet.
 #[derive(Debug)]
-pub(super) struct Submitting {
+pub(super) struct PendingSubmission {
     /// The workspace that the job belongs to.
     pub(super) workspace: Option<WorkspaceId>,
     /// Requesters of the same job besides the first.
-    pub(super) waiting: Vec<Asker>,
+    pub(super) waiting: Vec<ReplyTo>,
 }
 
 /// The state of the control task.
-pub(super) struct Task {
+pub(super) struct ControlTask {
     epoch: Instant,
     pub(super) node: Node,
     pub(super) ledger: Ledger,
@@ -224,60 +230,60 @@
     /// The scheduler; present while this node leads.
     pub(super) scheduler: Option<Scheduler>,
     /// When this node last became leader.
-    pub(super) led: Now,
+    pub(super) lead_since: Now,
     /// How many times this node has become leader. Answers to orders of an earlier tenure are
     /// ignored.
     tenure: u64,
-    pub(super) waiting: Waiting,
+    pub(super) proposals: PendingProposals,
     /// Jobs whose submissions are proposed and not applied yet.
-    pub(super) submitting: Map<u64, Submitting>,
+    pub(super) submissions: Map<u64, PendingSubmission>,
     pub(super) members: Members,
     /// Control nodes that have announced that they execute orders as relays.
-    pub(super) carriers: Set<NodeId>,
+    pub(super) relay_capable: Set<NodeId>,
     /// The relays of this node's orders while it leads.
     pub(super) relays: Relays,
     /// Answers to orders that this node executed as a relay, by leader and its tenure.
-    carried: Map<(NodeId, u64), Vec<(OrderId, Answer)>>,
+    relayed_answers: Map<(NodeId, u64), Vec<(OrderId, Answer)>>,
     /// The voters, and those of them that this node hears, as last logged.
-    pub(super) voting: (Vec<NodeId>, Vec<NodeId>),
+    pub(super) logged_voters: (Vec<NodeId>, Vec<NodeId>),
     pub(super) data_centre: DataCentreId,
     pub(super) mesh_port: u16,
-    pub(super) voters: usize,
-    pub(super) silence: Duration,
+    pub(super) target_voters: usize,
+    pub(super) silence_limit: Duration,
     settings: Settings,
     pub(super) writes: Vec<Write>,
     disk: std::sync::mpsc::Sender<Vec<Write>>,
     /// The data folder.
     pub(super) folder: PathBuf,
     /// Whether the cluster is saved in the data folder.
-    pub(super) kept: Kept,
+    pub(super) save_state: SaveState,
     /// When a cluster id may be proposed again; `None` if at once.
-    pub(super) found_due: Option<Now>,
-    pub(super) full: bool,
-    pub(super) compacted: Index,
+    pub(super) cluster_due: Option<Now>,
+    pub(super) disk_full: bool,
+    pub(super) snapshot_index: Index,
     /// Size of the entries applied since the last snapshot.
-    pub(super) bytes: usize,
+    pub(super) applied_bytes: usize,
     /// Whether this process is about to end.
     pub(super) leaving: bool,
     /// When to check peers and voters again; `None` if at once.
-    pub(super) tend_due: Option<Now>,
+    pub(super) check_due: Option<Now>,
     /// When to broadcast the view again; `None` if at once.
     pub(super) view_due: Option<Now>,
-    pub(super) view: Option<View>,
+    pub(super) last_view: Option<View>,
     failed: bool,
     pub(super) sender: mpsc::WeakSender<Queued>,
     load: Load,
     pub(super) ports: Ports,
 }
 
-impl Task {
+impl ControlTask {
     async fn run(mut self, mut inbox: mpsc::Receiver<Queued>) {
-        let mut tick = interval(TICK);
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut inputs = Vec::with_capacity(BATCH);
+        let mut inputs = Vec::with_capacity(MAX_BATCH);
         while !self.failed {
             tokio::select! {
-                count = inbox.recv_many(&mut inputs, BATCH) => {
+                count = inbox.recv_many(&mut inputs, MAX_BATCH) => {
                     if count == 0 {
                         return;
                     }
@@ -290,42 +296,42 @@
 
     /// Handles the inputs, then lets the leader decide once.
     fn turn(&mut self, inputs: impl ExactSizeIterator<Item = Queued>) {
-        self.load.begin(inputs.len());
-        for Queued { came, input } in inputs {
-            self.load.waited(came);
-            self.take(input);
+        self.load.start_turn(inputs.len());
+        for Queued { arrived_at, input } in inputs {
+            self.load.record_wait(arrived_at);
+            self.handle_input(input);
         }
-        self.load.done(Part::Take);
-        self.lead();
+        self.load.end_phase(Phase::Take);
+        self.update_leadership();
         self.plan();
-        self.load.done(Part::Plan);
-        self.settle();
-        self.load.done(Part::Rest);
-        self.load.end();
+        self.load.end_phase(Phase::Plan);
+        self.finish_turn();
+        self.load.end_phase(Phase::Rest);
+        self.load.end_turn();
         let under_way = self.scheduler.as_ref().map_or(0, Scheduler::under_way);
-        self.load.close(under_way);
+        self.load.close_window(under_way);
     }
 
     pub(super) fn now(&self) -> Now {
         self.epoch.elapsed()
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Frame(from, frame) => self.frame(from, frame),
+            Input::Frame(from, frame) => self.handle_frame(from, frame),
             Input::Disk(event) => self.disk_event(event),
-            Input::Ask(ask, reply) => self.ask(Asker::Here(reply), ask),
-            Input::Answered(order, tenure, answer) => self.answered(order, tenure, answer),
-            Input::Carried {
+            Input::Request(request, reply) => self.handle_request(ReplyTo::Local(reply), request),
+            Input::Answered(order, tenure, answer) => self.handle_answer(order, tenure, answer),
+            Input::RelayedAnswer {
                 leader,
                 tenure,
                 order,
                 answer,
             } => {
-                let answers = self.carried.entry((leader, tenure)).or_default();
+                let answers = self.relayed_answers.entry((leader, tenure)).or_default();
                 answers.push((order, answer));
             }
-            Input::Kept(kept) => self.kept(kept),
+            Input::ClusterSaved(result) => self.cluster_saved(result),
             Input::Leave => self.leave(),
         }
     }
@@ -334,36 +340,42 @@
     fn leave(&mut self) {
         self.leaving = true;
         self.view_due = None;
-        self.tend_due = None;
+        self.check_due = None;
         self.consensus(consensus::Input::Retire);
     }
 
-    fn frame(&mut self, from: NodeId, frame: Frame) {
+    fn handle_frame(&mut self, from: NodeId, frame: Frame) {
         match frame {
-            Frame::Log(message) => self.consensus(consensus::Input::Receive { from, message }),
-            Frame::Ask(number, ask) => self.ask(Asker::There(from, number), ask),
-            Frame::View(view) => self.viewed(from, view),
-            Frame::Orders { tenure, orders } => self.carry(from, tenure, orders),
-            Frame::Carried { tenure, answers } => self.were_carried(from, tenure, answers),
+            Frame::Consensus(message) => {
+                self.consensus(consensus::Input::Receive { from, message });
+            }
+            Frame::Request(id, request) => self.handle_request(ReplyTo::Remote(from, id), request),
+            Frame::View(view) => self.handle_view(from, view),
+            Frame::Orders { tenure, orders } => self.execute_relayed(from, tenure, orders),
+            Frame::RelayedAnswers { tenure, answers } => {
+                self.handle_relayed_answers(from, tenure, answers);
+            }
             // Control nodes send no requests over the mesh, so they get no replies.
-            Frame::Answer(..) => {}
+            Frame::Reply(..) => {}
         }
     }
 
     fn disk_event(&mut self, event: DiskEvent) {
         match event {
             DiskEvent::Synced(write) => {
-                if self.full {
+                if self.disk_full {
                     log::info!("the disk has free space again");
                 }
-                self.full = false;
+                self.disk_full = false;
                 self.consensus(consensus::Input::Synced { write });
             }
             DiskEvent::Full => {
-                if !self.full {
-                    log::error!("the disk is full; new requests are refused until it has free space");
+                if !self.disk_full {
+                    log::error!(
+                        "the disk is full; new requests are refused until it has free space"
+                    );
                 }
-                self.full = true;
+                self.disk_full = true;
             }
             DiskEvent::Failed(source) => self.fail(format!("data folder: {source}")),
         }
@@ -382,27 +394,27 @@
         }
         let outputs = self.node.step(self.now(), input);
         for output in outputs {
-            self.carry_out(output);
+            self.handle_output(output);
         }
     }
 
     /// Does the work of each turn that doesn't depend on being the leader.
-    fn settle(&mut self) {
+    fn finish_turn(&mut self) {
         self.compact();
-        self.tend();
-        self.tell();
-        self.report_carried();
+        self.maintain_peers();
+        self.broadcast_view();
+        self.send_relayed_answers();
         self.flush();
     }
 
     /// Whether this node holds a valid leader lease, so that no other node can lead.
-    pub(super) fn leads(&self) -> bool {
+    pub(super) fn holds_lease(&self) -> bool {
         self.node
             .lease_until()
             .is_some_and(|until| self.now() < until)
     }
 
-    fn lead(&mut self) {
+    fn update_leadership(&mut self) {
         let now = self.now();
         let superseded = self
             .scheduler
@@ -411,19 +423,19 @@
         if !self.node.is_leader() || superseded {
             if self.scheduler.take().is_some() {
                 log::info!(term = self.node.term(), superseded; "this node is no longer the leader");
-                self.submitting.clear();
-                for asker in self.waiting.abandon() {
-                    self.reply(asker, Reply::Unclear);
+                self.submissions.clear();
+                for reply_to in self.proposals.drain() {
+                    self.reply(reply_to, Reply::Unclear);
                 }
             }
             return;
         }
-        if self.scheduler.is_some() || !self.leads() {
+        if self.scheduler.is_some() || !self.holds_lease() {
             return;
         }
-        self.led = now;
+        self.lead_since = now;
         self.tenure += 1;
-        self.relays.begin();
+        self.relays.reset();
         let catalog = self.read_catalog().unwrap_or_default();
         let term = self.node.term();
         log::info!(term, index = self.ledger.applied(); "this node became the leader");
@@ -439,7 +451,7 @@
 
     /// Lets the scheduler plan, proposes its commands and sends its orders.
     fn plan(&mut self) {
-        if !self.leads() || self.full {
+        if !self.holds_lease() || self.disk_full {
             return;
         }
         let now = self.now();
@@ -455,28 +467,30 @@
         let share = scheduler.relayed();
         let plan = scheduler.plan(now, wall(), &self.ledger);
         self.load
-            .decided(plan.orders.len(), plan.commands.len(), plan.looks);
+            .record_plan(plan.orders.len(), plan.commands.len(), plan.looks);
         for age in &plan.ages {
-            self.ports.metrics.placed_after(*age);
+            self.ports.metrics.record_heartbeat_age(*age);
         }
         for delay in &plan.delays {
-            self.ports.metrics.start_sent_after(*delay);
+            self.ports.metrics.record_start_delay(*delay);
         }
         for command in plan.commands {
-            self.propose(Asker::Nobody, command);
+            self.propose(ReplyTo::Discard, command);
         }
         // Checks the lease again, because the process may have been suspended since the first
         // check.
-        if !self.leads() {
+        if !self.holds_lease() {
             return;
         }
         let tenure = self.tenure;
         for order in plan.orders {
             let relay = self.relays.choose(now, share, &order.what);
             match relay {
-                Some(relay) => self.relays.carry(now, relay, self.ports.exchange, order),
+                Some(relay) => self
+                    .relays
+                    .assign(now, relay, self.ports.exchange_limit, order),
                 None => {
-                    self.relays.send_here(&order);
+                    self.relays.record_direct(&order);
                     self.perform(order, move |order, answer| {
                         Input::Answered(order, tenure, answer)
                     });
@@ -503,33 +517,33 @@
         let (metrics, what) = (Arc::clone(&self.ports.metrics), order.what.clone());
         let answer = (self.ports.perform)(order);
         tokio::spawn(async move {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let answer = answer.await;
-            metrics.ordered(&what, &answer, begun.elapsed());
+            metrics.record_answer(&what, &answer, started_at.elapsed());
             // The send fails only when the task has ended.
             let _ = inbox.send(answered(id, answer).into()).await;
         });
     }
 
-    fn answered(&mut self, order: OrderId, tenure: u64, answer: Answer) {
+    fn handle_answer(&mut self, order: OrderId, tenure: u64, answer: Answer) {
         let now = self.now();
         if tenure == self.tenure
             && let Some(scheduler) = &mut self.scheduler
         {
             self.relays
-                .answered_here(order, !matches!(answer, Answer::Silent));
+                .record_direct_answer(order, !matches!(answer, Answer::Silent));
             scheduler.answered(now, order, answer);
         }
     }
 
     /// Executes the orders of a leader as its relay, unless this node knows of a later term.
-    fn carry(&mut self, leader: NodeId, tenure: u64, orders: Vec<Order>) {
+    fn execute_relayed(&mut self, leader: NodeId, tenure: u64, orders: Vec<Order>) {
         for order in orders {
             if order.term < self.node.term() {
                 // No answer is sent: the current leader doesn't wait for this order.
                 continue;
             }
-            self.perform(order, move |order, answer| Input::Carried {
+            self.perform(order, move |order, answer| Input::RelayedAnswer {
                 leader,
                 tenure,
                 order,
@@ -539,61 +553,64 @@
     }
 
     /// Handles a relay's answers to this node's orders.
-    fn were_carried(&mut self, relay: NodeId, tenure: u64, answers: Vec<(OrderId, Answer)>) {
+    fn handle_relayed_answers(
+        &mut self,
+        relay: NodeId,
+        tenure: u64,
+        answers: Vec<(OrderId, Answer)>,
+    ) {
         let now = self.now();
         let Some(scheduler) = self.scheduler.as_mut().filter(|_| tenure == self.tenure) else {
             return;
         };
         for (order, answer) in answers {
             let reached = !matches!(answer, Answer::Silent);
-            if self.relays.answered(relay, order, reached) {
+            if self.relays.record_answer(relay, order, reached) {
                 scheduler.answered(now, order, answer);
             }
         }
     }
 
     /// Sends leaders the answers to the orders that this node executed as their relay.
-    fn report_carried(&mut self) {
-        for ((leader, tenure), answers) in self.carried.drain() {
-            let frame = Frame::Carried { tenure, answers };
+    fn send_relayed_answers(&mut self) {
+        for ((leader, tenure), answers) in self.relayed_answers.drain() {
+            let frame = Frame::RelayedAnswers { tenure, answers };
             // If the frame is lost, the leader sees orders without an answer.
             self.ports.mesh.send(leader, frame.encode());
         }
     }
 
-    pub(super) fn propose(&mut self, asker: Asker, command: Command) {
+    pub(super) fn propose(&mut self, reply_to: ReplyTo, command: Command) {
         let payload = command.encode();
-        let proposal = self.waiting.propose(asker, Some(command));
-        self.load.proposed(payload.len());
+        let proposal = self.proposals.propose(reply_to, Some(command));
+        self.load.record_proposal(payload.len());
         self.consensus(consensus::Input::Propose { proposal, payload });
     }
 
-    pub(super) fn reply(&self, asker: Asker, reply: Reply) {
-        match asker {
+    pub(super) fn reply(&self, reply_to: ReplyTo, reply: Reply) {
+        match reply_to {
             // The requester may have stopped waiting.
-            Asker::Here(sender) => drop(sender.send(reply)),
-            Asker::There(node, number) => self.answer(node, number, reply),
-            Asker::Nobody => {}
+            ReplyTo::Local(sender) => drop(sender.send(reply)),
+            ReplyTo::Remote(node, id) => self.answer(node, id, reply),
+            ReplyTo::Discard => {}
             // The change is proposed again for as long as it is needed.
-            Asker::Membership => {
+            ReplyTo::Membership => {
                 log::info!(reply:?; "result of a proposed voter change");
             }
         }
     }
 
-    fn answer(&self, node: NodeId, number: AskId, reply: Reply) {
-        self.ports
-            .mesh
-            .send(node, Frame::Answer(number, reply).encode());
+    fn answer(&self, node: NodeId, id: RequestId, reply: Reply) {
+        self.ports.mesh.send(node, Frame::Reply(id, reply).encode());
     }
 
     fn compact(&mut self) {
         let index = self.ledger.applied();
-        if index < self.compacted + COMPACT && self.bytes < COMPACT_BYTES {
+        if index < self.snapshot_index + SNAPSHOT_ENTRIES && self.applied_bytes < SNAPSHOT_BYTES {
             return;
         }
-        self.compacted = index;
-        self.bytes = 0;
+        self.snapshot_index = index;
+        self.applied_bytes = 0;
         let image = self.ledger.image();
         self.consensus(consensus::Input::Compact { index, image });
     }
--- a/src/manager/entry.rs
+++ b/src/manager/entry.rs
@@ -16,8 +16,8 @@
 };
 
 use super::{
-    ask::{Ask, Refused, Reply},
-    frame::{AskId, Frame, View},
+    ask::{LeaderRequest, Refused, Reply},
+    frame::{Frame, RequestId, View},
     identity::address,
     metrics::Metrics,
 };
@@ -32,22 +32,22 @@
 
 /// How long a node may take to reply before the request is sent again. Several times as long as a
 /// commit takes on a slow disk.
-const TRY: Duration = Duration::from_millis(600);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
 /// A leader that hasn't been heard from for this long isn't asked. More than two intervals of its
 /// views.
-const SILENT: Duration = Duration::from_millis(1300);
+const LEADER_TIMEOUT: Duration = Duration::from_millis(1300);
 /// Without any message from a leader for this long, the node counts as cut off, alone or together
 /// with control nodes that can't elect a leader. An election takes one second, or two if it has to
 /// be repeated.
-const CUT_OFF: Duration = Duration::from_millis(2000);
+const CUT_OFF_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Time between two checks for a reachable leader.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause before the same node is asked again.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What an entry node knows about the leader and its catalog.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known {
+pub struct LeaderInfo {
     /// The highest term that a view reported.
     pub term: Term,
     /// The leader of that term.
@@ -57,25 +57,25 @@
 }
 
 /// Sends requests to the leader and retries them.
-pub struct Asking {
+pub struct LeaderClient {
     mesh: Arc<Mesh>,
     mesh_port: u16,
     metrics: Arc<Metrics>,
     state: Mutex<State>,
-    known: watch::Sender<Known>,
+    info: watch::Sender<LeaderInfo>,
 }
 
 #[derive(Default)]
 struct State {
-    last: AskId,
-    open: Map<AskId, oneshot::Sender<Reply>>,
+    last_id: RequestId,
+    pending: Map<RequestId, oneshot::Sender<Reply>>,
     /// When a message of each control node last arrived.
-    heard: Map<NodeId, Instant>,
+    last_seen: Map<NodeId, Instant>,
     /// When a message of the leader of that time last arrived.
-    led: Option<Instant>,
+    leader_seen: Option<Instant>,
 }
 
-impl Asking {
+impl LeaderClient {
     /// Creates the client of an entry node. All control nodes' meshes listen on `mesh_port`.
     pub fn new(mesh: Arc<Mesh>, mesh_port: u16, metrics: Arc<Metrics>) -> Arc<Self> {
         Arc::new(Self {
@@ -83,94 +83,101 @@
             mesh_port,
             metrics,
             state: Mutex::default(),
-            known: watch::Sender::default(),
+            info: watch::Sender::default(),
         })
     }
 
     /// Watches what is known about the leader.
-    pub fn known(&self) -> watch::Receiver<Known> {
-        self.known.subscribe()
+    pub fn info(&self) -> watch::Receiver<LeaderInfo> {
+        self.info.subscribe()
     }
 
     /// Handles a message from the mesh.
-    pub fn frame(&self, from: NodeId, frame: Frame) {
-        self.hear(from);
+    pub fn handle_frame(&self, from: NodeId, frame: Frame) {
+        self.record_contact(from);
         match frame {
-            Frame::Answer(number, reply) => {
-                if let Some(waiting) = self.lock().open.remove(&number) {
+            Frame::Reply(id, reply) => {
+                if let Some(waiting) = self.lock().pending.remove(&id) {
                     // The requester may have stopped waiting.
                     let _ = waiting.send(reply);
                 }
             }
-            Frame::View(view) => self.view(from, &view),
+            Frame::View(view) => self.handle_view(from, &view),
             // Entry nodes answer no requests, keep no log and execute no orders.
-            Frame::Ask(..) | Frame::Log(_) | Frame::Orders { .. } | Frame::Carried { .. } => {}
+            Frame::Request(..)
+            | Frame::Consensus(_)
+            | Frame::Orders { .. }
+            | Frame::RelayedAnswers { .. } => {}
         }
     }
 
     /// Whether this node hasn't heard from a leader for so long that it can't answer any request.
     pub fn is_cut_off(&self) -> bool {
-        self.lock().led.is_none_or(|at| at.elapsed() >= CUT_OFF)
+        self.lock()
+            .leader_seen
+            .is_none_or(|at| at.elapsed() >= CUT_OFF_TIMEOUT)
     }
 
-    fn hear(&self, from: NodeId) {
-        let leads = self.known.borrow().leader == Some(from);
+    fn record_contact(&self, from: NodeId) {
+        let leads = self.info.borrow().leader == Some(from);
         let mut state = self.lock();
         let now = Instant::now();
-        state.heard.insert(from, now);
+        state.last_seen.insert(from, now);
         if leads {
-            state.led = Some(now);
+            state.leader_seen = Some(now);
         }
     }
 
     /// The leader, if it has been heard from recently.
-    fn leader(&self, known: &mut watch::Receiver<Known>) -> Option<NodeId> {
-        let leader = known.borrow_and_update().leader?;
-        let heard = self.lock().heard.get(&leader).copied();
-        heard.filter(|at| at.elapsed() < SILENT).map(|_| leader)
+    fn reachable_leader(&self, info: &mut watch::Receiver<LeaderInfo>) -> Option<NodeId> {
+        let leader = info.borrow_and_update().leader?;
+        let last_seen = self.lock().last_seen.get(&leader).copied();
+        last_seen
+            .filter(|at| at.elapsed() < LEADER_TIMEOUT)
+            .map(|_| leader)
     }
 
     /// Asks the leader until it replies or the time is over. If this node is cut off, it replies at
     /// once, so that the caller can turn to another entry node.
-    pub async fn ask(&self, ask: &Ask, until: Instant) -> Reply {
-        let begun = Instant::now();
-        let reply = self.find(ask, until).await;
-        self.metrics.replied(&reply, begun.elapsed());
+    pub async fn ask(&self, request: &LeaderRequest, until: Instant) -> Reply {
+        let started_at = Instant::now();
+        let reply = self.ask_leader(request, until).await;
+        self.metrics.record_reply(&reply, started_at.elapsed());
         reply
     }
 
-    async fn find(&self, ask: &Ask, until: Instant) -> Reply {
-        let mut known = self.known.subscribe();
+    async fn ask_leader(&self, request: &LeaderRequest, until: Instant) -> Reply {
+        let mut info = self.info.subscribe();
         let mut asked = false;
         let mut hint = None;
         while Instant::now() < until {
             if self.is_cut_off() {
                 break;
             }
-            let leader = hint.take().or_else(|| self.leader(&mut known));
+            let leader = hint.take().or_else(|| self.reachable_leader(&mut info));
             let Some(leader) = leader else {
-                let end = until.min(Instant::now() + LOOK);
+                let end = until.min(Instant::now() + POLL_INTERVAL);
                 // The loop checks again whether the leader has changed or the wait timed out.
-                let _ = timeout_at(end, known.changed()).await;
+                let _ = timeout_at(end, info.changed()).await;
                 continue;
             };
-            match self.ask_node(leader, ask, until).await {
-                Tried::Answered(Reply::Refused(Refused::NotLeader(other))) => {
+            match self.ask_node(leader, request, until).await {
+                AskOutcome::Answered(Reply::Refused(Refused::NotLeader(other))) => {
                     hint = other.filter(|other| *other != leader);
                 }
-                Tried::Answered(Reply::Refused(Refused::NoLeader)) => {}
-                Tried::Answered(Reply::Unclear) | Tried::Silent => asked = true,
-                Tried::Unsent => {}
+                AskOutcome::Answered(Reply::Refused(Refused::NoLeader)) => {}
+                AskOutcome::Answered(Reply::Unclear) | AskOutcome::TimedOut => asked = true,
+                AskOutcome::NotSent => {}
                 // An earlier try may have been accepted even though this one is refused.
-                Tried::Answered(Reply::Refused(_)) if asked => return Reply::Unclear,
-                Tried::Answered(reply) => return reply,
+                AskOutcome::Answered(Reply::Refused(_)) if asked => return Reply::Unclear,
+                AskOutcome::Answered(reply) => return reply,
             }
-            self.metrics.retried();
+            self.metrics.record_retry();
             if hint.is_none() {
                 // Waits for new information about the leader, or for a pause before the same node
                 // is asked again.
-                let end = until.min(Instant::now() + PAUSE);
-                let _ = timeout_at(end, known.changed()).await;
+                let end = until.min(Instant::now() + RETRY_INTERVAL);
+                let _ = timeout_at(end, info.changed()).await;
             }
         }
         if asked {
@@ -180,56 +187,56 @@
         }
     }
 
-    async fn ask_node(&self, node: NodeId, ask: &Ask, until: Instant) -> Tried {
+    async fn ask_node(&self, node: NodeId, request: &LeaderRequest, until: Instant) -> AskOutcome {
         let (sender, answer) = oneshot::channel();
-        let number = {
+        let id = {
             let mut state = self.lock();
-            state.last += 1;
-            let number = state.last;
-            state.open.insert(number, sender);
-            number
+            state.last_id += 1;
+            let id = state.last_id;
+            state.pending.insert(id, sender);
+            id
         };
-        let frame = Frame::Ask(number, ask.clone());
+        let frame = Frame::Request(id, request.clone());
         if !self.mesh.send(node, frame.encode()) {
-            self.lock().open.remove(&number);
-            return Tried::Unsent;
+            self.lock().pending.remove(&id);
+            return AskOutcome::NotSent;
         }
-        let end = until.min(Instant::now() + TRY);
-        let tried = timeout_at(end, answer).await;
-        self.lock().open.remove(&number);
-        match tried {
-            Ok(Ok(reply)) => Tried::Answered(reply),
-            _ => Tried::Silent,
+        let end = until.min(Instant::now() + REPLY_TIMEOUT);
+        let outcome = timeout_at(end, answer).await;
+        self.lock().pending.remove(&id);
+        match outcome {
+            Ok(Ok(reply)) => AskOutcome::Answered(reply),
+            _ => AskOutcome::TimedOut,
         }
     }
 
-    fn view(&self, from: NodeId, view: &View) {
+    fn handle_view(&self, from: NodeId, view: &View) {
         for (node, _) in &view.controls {
             self.mesh.dial(address(*node, self.mesh_port));
         }
-        let joined = view.leader == Some(from) && self.join(from);
-        self.known.send_if_modified(|known| {
+        let joined = view.leader == Some(from) && self.adopt_cluster(from);
+        self.info.send_if_modified(|info| {
             let mut changed = false;
             if joined {
                 // The information so far may have come from a node of another cluster.
-                known.term = view.term;
-                known.leader = view.leader;
+                info.term = view.term;
+                info.leader = view.leader;
                 changed = true;
             }
             if let Some(limits) = view.limits
-                && known.limits != limits
+                && info.limits != limits
             {
-                known.limits = limits;
+                info.limits = limits;
                 changed = true;
             }
             // A node that knows no leader doesn't disprove what others report, unless it was itself
             // the leader.
-            let lost = view.leader.is_none() && known.leader == Some(from);
-            let newer = view.term > known.term && view.leader.is_some();
-            let same = view.term == known.term && known.leader.is_none();
+            let lost = view.leader.is_none() && info.leader == Some(from);
+            let newer = view.term > info.term && view.leader.is_some();
+            let same = view.term == info.term && info.leader.is_none();
             if lost || newer || (same && view.leader.is_some()) {
-                known.term = view.term.max(known.term);
-                known.leader = view.leader;
+                info.term = view.term.max(info.term);
+                info.leader = view.leader;
                 changed = true;
             }
             changed
@@ -238,7 +245,7 @@
 
     /// Adopts the cluster of a node that leads one, if this node doesn't know its cluster yet. A
     /// lone node of another cluster leads nobody. Returns whether the cluster was adopted now.
-    fn join(&self, leader: NodeId) -> bool {
+    fn adopt_cluster(&self, leader: NodeId) -> bool {
         let cluster = self.mesh.said(leader).and_then(|claim| claim.cluster);
         let joined = cluster.is_some_and(|cluster| self.mesh.join(cluster));
         if joined {
@@ -254,10 +261,10 @@
 }
 
 /// The outcome of asking one node.
-enum Tried {
+enum AskOutcome {
     Answered(Reply),
     /// The request was sent, but no reply arrived in time.
-    Silent,
+    TimedOut,
     /// There is no link to the node.
-    Unsent,
+    NotSent,
 }
--- a/src/manager/frame.rs
+++ b/src/manager/frame.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::ask::{Ask, Reply};
+use super::ask::{LeaderRequest, Reply};
 use crate::core::{
     consensus::{Message, Term},
     types::{DataCentreId, NodeId},
@@ -14,18 +14,21 @@
 };
 
 /// A number that the requesting node assigns to a request, to match the reply.
-pub type AskId = u64;
+pub type RequestId = u64;
 
 /// A message between nodes.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub enum Frame {
     /// A message of the consensus protocol.
-    Log(Message),
+    #[serde(rename = "Log")]
+    Consensus(Message),
     /// A request to the leader.
-    Ask(AskId, Ask),
+    #[serde(rename = "Ask")]
+    Request(RequestId, LeaderRequest),
     /// The reply to a request.
-    Answer(AskId, Reply),
+    #[serde(rename = "Answer")]
+    Reply(RequestId, Reply),
     /// The sending control node's view of the cluster.
     View(View),
     /// Orders that the leader delegates to a relay.
@@ -36,7 +39,8 @@
         orders: Vec<Order>,
     },
     /// A relay's answers to the orders of a leader.
-    Carried {
+    #[serde(rename = "Carried")]
+    RelayedAnswers {
         /// The tenure in which the receiver sent the orders.
         tenure: u64,
         /// The answers.
@@ -62,8 +66,8 @@
     /// Limits on callers' requests, from the catalog.
     pub limits: Option<CallLimits>,
     /// Whether the sender executes orders as a relay. Nodes of earlier releases don't.
-    #[serde(default)]
-    pub carries: bool,
+    #[serde(default, rename = "carries")]
+    pub relays: bool,
 }
 
 impl Frame {
--- a/src/manager/identity.rs
+++ b/src/manager/identity.rs
@@ -17,7 +17,7 @@
 use crate::core::types::NodeId;
 
 /// The file in the data folder that holds the id.
-const FILE: &str = "node";
+const FILE_NAME: &str = "node";
 
 /// Why a node's identity can't be read or stored.
 #[derive(Debug)]
@@ -89,8 +89,8 @@
 /// # Errors
 ///
 /// The folder can't be used, or belongs to another address.
-pub fn recall(folder: &Path, ip: Ipv4Addr, number: u32) -> Result<NodeId, IdentityError> {
-    let path = folder.join(FILE);
+pub fn load_or_create(folder: &Path, ip: Ipv4Addr, number: u32) -> Result<NodeId, IdentityError> {
+    let path = folder.join(FILE_NAME);
     let text = match fs::read_to_string(&path) {
         Ok(text) => text,
         Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
@@ -100,7 +100,7 @@
     // one is safe.
     if text.trim().is_empty() {
         let id = node_id(ip, number);
-        keep(folder, &path, &id.to_string()).context(AccessSnafu { path })?;
+        write_file(folder, &path, &id.to_string()).context(AccessSnafu { path })?;
         return Ok(id);
     }
     let Ok(id) = text.trim().parse::<NodeId>() else {
@@ -115,7 +115,7 @@
 }
 
 /// Writes a file of one line atomically: syncs a new file, then renames it into place.
-pub(super) fn keep(folder: &Path, path: &Path, line: &str) -> io::Result<()> {
+pub(super) fn write_file(folder: &Path, path: &Path, line: &str) -> io::Result<()> {
     fs::create_dir_all(folder)?;
     let beside = path.with_extension("new");
     let mut file = File::create(&beside)?;
--- a/src/manager/load.rs
+++ b/src/manager/load.rs
@@ -12,22 +12,22 @@
 
 use tokio::{runtime::Handle, time::Instant};
 
-use super::metrics::{Metrics, Part};
+use super::metrics::{Metrics, Phase};
 
 /// Length of a window. Short enough to show the seconds of a burst, and long enough to bound the
 /// number of log lines.
 const WINDOW: Duration = Duration::from_secs(1);
 /// Time between two samples of the busy ratio.
-const SAMPLE: Duration = Duration::from_millis(100);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// Wait after which an input comes too late to act on. Half of the time that an agent may take to
 /// answer.
-const BEHIND: Duration = Duration::from_millis(250);
+const MAX_WAIT: Duration = Duration::from_millis(250);
 /// Busy ratio of the thread in a window above which no time is left for a burst.
-const FULL: f64 = 0.9;
+const MAX_BUSY_RATIO: f64 = 0.9;
 
 /// Totals and maxima of the current window. The field names are the keys of the log line.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sums {
+struct Totals {
     turns: usize,
     inputs: usize,
     batch: usize,
@@ -46,31 +46,31 @@
 #[derive(Debug)]
 pub(super) struct Load {
     metrics: Arc<Metrics>,
-    sums: Sums,
+    totals: Totals,
     /// The thread's busy time since the window began.
-    window: Meter,
+    window: BusyMeter,
     /// The thread's busy time since the last sample.
-    sample: Meter,
+    sample: BusyMeter,
     /// When this turn began, and when its last finished phase ended.
-    begun: Instant,
-    mark: Instant,
+    started_at: Instant,
+    phase_start: Instant,
     /// The longest wait of an input of this turn.
     wait: Duration,
 }
 
 /// Measures the busy ratio of the thread over a span of time.
 #[derive(Debug)]
-struct Meter {
+struct BusyMeter {
     since: Instant,
     /// The thread's total busy time at `since`.
     busy: Duration,
 }
 
-impl Meter {
+impl BusyMeter {
     fn new(now: Instant) -> Self {
         Self {
             since: now,
-            busy: busy(),
+            busy: total_busy(),
         }
     }
 
@@ -82,8 +82,8 @@
             return None;
         }
         let before = std::mem::replace(self, Self::new(now));
-        let part = (self.busy - before.busy).as_secs_f64() / span.as_secs_f64();
-        Some((span, part))
+        let ratio = (self.busy - before.busy).as_secs_f64() / span.as_secs_f64();
+        Some((span, ratio))
     }
 }
 
@@ -92,85 +92,85 @@
         let now = Instant::now();
         Self {
             metrics,
-            sums: Sums::default(),
-            window: Meter::new(now),
-            sample: Meter::new(now),
-            begun: now,
-            mark: now,
+            totals: Totals::default(),
+            window: BusyMeter::new(now),
+            sample: BusyMeter::new(now),
+            started_at: now,
+            phase_start: now,
             wait: Duration::ZERO,
         }
     }
 
     /// Starts a turn with a number of inputs.
-    pub(super) fn begin(&mut self, inputs: usize) {
-        self.begun = Instant::now();
-        self.mark = self.begun;
-        self.sums.turns += 1;
-        self.sums.inputs += inputs;
-        self.sums.batch = self.sums.batch.max(inputs);
-        self.metrics.batched(inputs);
+    pub(super) fn start_turn(&mut self, inputs: usize) {
+        self.started_at = Instant::now();
+        self.phase_start = self.started_at;
+        self.totals.turns += 1;
+        self.totals.inputs += inputs;
+        self.totals.batch = self.totals.batch.max(inputs);
+        self.metrics.record_batch(inputs);
     }
 
     /// Records how long an input of this turn has waited since its arrival.
-    pub(super) fn waited(&mut self, came: Instant) {
-        let wait = self.mark.saturating_duration_since(came);
+    pub(super) fn record_wait(&mut self, arrived_at: Instant) {
+        let wait = self.phase_start.saturating_duration_since(arrived_at);
         self.wait = self.wait.max(wait);
     }
 
     /// Records the end of a phase of the turn.
-    pub(super) fn done(&mut self, part: Part) {
+    pub(super) fn end_phase(&mut self, phase: Phase) {
         let now = Instant::now();
-        let took = now - self.mark;
-        self.mark = now;
-        let sum = match part {
-            Part::Take => &mut self.sums.taking,
-            Part::Plan => &mut self.sums.planning,
-            Part::Rest => &mut self.sums.rest,
+        let took = now - self.phase_start;
+        self.phase_start = now;
+        let sum = match phase {
+            Phase::Take => &mut self.totals.taking,
+            Phase::Plan => &mut self.totals.planning,
+            Phase::Rest => &mut self.totals.rest,
         };
         *sum += took;
-        self.metrics.turned(part, took);
+        self.metrics.record_phase(phase, took);
     }
 
     /// Records the turn after its last phase.
-    pub(super) fn end(&mut self) {
-        self.sums.turn = self.sums.turn.max(self.mark - self.begun);
+    pub(super) fn end_turn(&mut self) {
+        self.totals.turn = self.totals.turn.max(self.phase_start - self.started_at);
         let wait = std::mem::take(&mut self.wait);
-        self.sums.wait = self.sums.wait.max(wait);
-        self.metrics.waited(wait);
+        self.totals.wait = self.totals.wait.max(wait);
+        self.metrics.record_wait(wait);
     }
 
     /// Records what the turn decided: the number of orders and commands, and of agents that were
     /// examined.
-    pub(super) fn decided(&mut self, orders: usize, commands: usize, looks: usize) {
-        self.sums.orders += orders;
-        self.sums.commands += commands;
-        self.sums.looks += looks;
+    pub(super) fn record_plan(&mut self, orders: usize, commands: usize, looks: usize) {
+        self.totals.orders += orders;
+        self.totals.commands += commands;
+        self.totals.looks += looks;
     }
 
     /// Records the size of a proposal.
-    pub(super) fn proposed(&mut self, bytes: usize) {
-        self.sums.bytes += bytes;
+    pub(super) fn record_proposal(&mut self, bytes: usize) {
+        self.totals.bytes += bytes;
     }
 
     /// The span since the last sample and its busy ratio, if a new sample is due.
     pub(super) fn sample(&mut self) -> Option<(Duration, f64)> {
-        self.sample.read(self.mark, SAMPLE)
+        self.sample.read(self.phase_start, SAMPLE_INTERVAL)
     }
 
     /// Ends the window if it is over. Logs it if an input waited too long in it or the thread was
     /// too busy.
     ///
     /// `under_way` is the number of orders that wait for an answer.
-    pub(super) fn close(&mut self, under_way: usize) {
-        let Some((_, share)) = self.window.read(self.mark, WINDOW) else {
+    pub(super) fn close_window(&mut self, under_way: usize) {
+        let Some((_, share)) = self.window.read(self.phase_start, WINDOW) else {
             return;
         };
-        let sums = std::mem::take(&mut self.sums);
-        self.metrics.busy.set(share);
-        if sums.wait < BEHIND && share < FULL {
+        let totals = std::mem::take(&mut self.totals);
+        self.metrics.busy_ratio.set(share);
+        if totals.wait < MAX_WAIT && share < MAX_BUSY_RATIO {
             return;
         }
-        let Sums {
+        let Totals {
             turns,
             inputs,
             batch,
@@ -183,7 +183,7 @@
             commands,
             bytes,
             looks,
-        } = sums;
+        } = totals;
         log::warn!(
             busy = share, turns, inputs, batch, wait:?, turn:?, taking:?, planning:?, rest:?,
             orders, under_way, commands, bytes, looks;
@@ -193,6 +193,6 @@
 }
 
 /// The total busy time of the thread that runs the tasks, since the process started.
-fn busy() -> Duration {
+fn total_busy() -> Duration {
     Handle::current().metrics().worker_total_busy_duration(0)
 }
--- a/src/manager/membership.rs
+++ b/src/manager/membership.rs
@@ -17,23 +17,23 @@
 //!
 //! use egretpin::manager::{
 //!     identity::node_id,
-//!     membership::{Members, Voting},
+//!     membership::{Members, VoterStatus},
 //! };
 //!
 //! let node = |host: u8| node_id([10, 0, 0, host].into(), 0);
 //! let now = Duration::from_secs(9);
 //! let mut members = Members::default();
 //! for (host, data_centre) in [(1, "east"), (2, "west"), (4, "north")] {
-//!     members.heard(now, node(host), data_centre.into(), false);
+//!     members.record_contact(now, node(host), data_centre.into(), false);
 //! }
 //! // The new voter is added before the lost one is removed.
 //! let voters = [node(1), node(2), node(3)];
 //! let silent = [node(3)];
-//! let mut voting = Voting { leader: node(1), voters: &voters, silent: &silent, target: 3 };
-//! let voters = members.wanted(now, &voting).expect("the third is lost");
+//! let mut status = VoterStatus { leader: node(1), voters: &voters, silent: &silent, target: 3 };
+//! let voters = members.next_change(now, &status).expect("the third is lost");
 //! assert_eq!(voters, [node(1), node(2), node(3), node(4)]);
-//! voting.voters = &voters;
-//! let voters = members.wanted(now, &voting).expect("it is still there");
+//! status.voters = &voters;
+//! let voters = members.next_change(now, &status).expect("it is still there");
 //! assert_eq!(voters, [node(1), node(2), node(4)]);
 //! ```
 
@@ -44,29 +44,29 @@
 
 /// A node counts as alive if it was heard from within this time. Covers two intervals of its views
 /// and some delay.
-const ALIVE: Duration = Duration::from_millis(2500);
+const ALIVE_WITHIN: Duration = Duration::from_millis(2500);
 /// How long a node that couldn't be made a voter is chosen only as the last resort. Another node
 /// may be reachable where this one isn't, and this one may be reachable again soon.
-const LAST_CHOICE: Duration = Duration::from_secs(5);
+const FAILED_BACKOFF: Duration = Duration::from_secs(5);
 /// An alive node that was heard from within this time is chosen before others. Covers one interval
 /// of its views and some delay. A failure that takes a voter away may have taken nodes next to it.
-const FRESH: Duration = Duration::from_millis(1200);
+const FRESH_WITHIN: Duration = Duration::from_millis(1200);
 /// Nodes that haven't been heard from for this long are forgotten. Otherwise replaced nodes would
 /// be announced and dialled for ever. Longer than any network partition that operators reported.
-const FORGET: Duration = Duration::from_secs(60);
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 
 /// What is known about a control node.
 #[derive(Clone, Debug)]
 struct Member {
     data_centre: DataCentreId,
     /// When this node last heard from it; `None` if only other nodes mentioned it.
-    heard: Option<Now>,
+    last_seen: Option<Now>,
     /// When this node last heard from it, or else when another node first mentioned it.
-    known: Now,
+    known_at: Now,
     /// Whether it has announced that it is about to end.
     leaving: bool,
     /// When it last couldn't be made a voter.
-    failed: Option<Now>,
+    failed_at: Option<Now>,
 }
 
 /// The known control nodes.
@@ -79,7 +79,7 @@
 
 /// The current voters as the leader sees them.
 #[derive(Clone, Copy, Debug)]
-pub struct Voting<'a> {
+pub struct VoterStatus<'a> {
     /// The leader.
     pub leader: NodeId,
     /// The voters.
@@ -93,7 +93,7 @@
 impl Members {
     /// Records that a control node was heard from and whether it is about to end. Returns whether
     /// it was never heard from before.
-    pub fn heard(
+    pub fn record_contact(
         &mut self,
         now: Now,
         node: NodeId,
@@ -101,14 +101,14 @@
         leaving: bool,
     ) -> bool {
         let before = self.members.remove(&node);
-        let failed = before.as_ref().and_then(|member| member.failed);
-        let new = before.is_none_or(|member| member.heard.is_none());
+        let failed_at = before.as_ref().and_then(|member| member.failed_at);
+        let new = before.is_none_or(|member| member.last_seen.is_none());
         let member = Member {
             data_centre,
-            heard: Some(now),
-            known: now,
+            last_seen: Some(now),
+            known_at: now,
             leaving,
-            failed,
+            failed_at,
         };
         self.members.insert(node, member);
         new
@@ -116,39 +116,42 @@
 
     /// Records that another node mentioned a control node, which may not be alive. Returns whether
     /// it is new.
-    pub fn told(&mut self, now: Now, node: NodeId, data_centre: DataCentreId) -> bool {
+    pub fn record_mention(&mut self, now: Now, node: NodeId, data_centre: DataCentreId) -> bool {
         let new = !self.members.contains_key(&node);
         self.members.entry(node).or_insert(Member {
             data_centre,
-            heard: None,
-            known: now,
+            last_seen: None,
+            known_at: now,
             leaving: false,
-            failed: None,
+            failed_at: None,
         });
         new
     }
 
     /// Forgets nodes that haven't been heard from for a long time.
     pub fn forget(&mut self, now: Now) {
-        self.members.retain(|_, member| now < member.known + FORGET);
+        self.members
+            .retain(|_, member| now < member.known_at + FORGET_AFTER);
     }
 
     /// All nodes that were heard from, except those whose address another id has taken. Nodes that
     /// were only mentioned aren't announced; otherwise nodes would go on announcing a dead node to
     /// each other for ever.
-    pub fn all(&self, now: Now) -> Vec<(NodeId, DataCentreId)> {
-        let all = self.members.iter().filter(|(_, m)| m.heard.is_some());
-        let all = all.filter(|(node, _)| !self.is_replaced(now, **node));
+    pub fn announced(&self, now: Now) -> Vec<(NodeId, DataCentreId)> {
+        let all = self.members.iter().filter(|(_, m)| m.last_seen.is_some());
+        let all = all.filter(|(node, _)| !self.is_superseded(now, **node));
         all.map(|(node, member)| (*node, member.data_centre.clone()))
             .collect()
     }
 
     /// The nodes other than `me` that were heard from recently, aren't about to end and aren't
     /// superseded, with their data centres.
-    pub fn others(&self, now: Now, me: NodeId) -> Vec<(NodeId, DataCentreId)> {
+    pub fn fresh_peers(&self, now: Now, me: NodeId) -> Vec<(NodeId, DataCentreId)> {
         let others = self.members.iter().filter(|(node, member)| {
-            let fresh = member.heard.is_some_and(|heard| now < heard + FRESH);
-            **node != me && fresh && !member.leaving && !self.is_replaced(now, **node)
+            let fresh = member
+                .last_seen
+                .is_some_and(|last_seen| now < last_seen + FRESH_WITHIN);
+            **node != me && fresh && !member.leaving && !self.is_superseded(now, **node)
         });
         others
             .map(|(node, member)| (*node, member.data_centre.clone()))
@@ -156,22 +159,22 @@
     }
 
     /// Those of `nodes` that are alive.
-    pub fn living(&self, now: Now, nodes: &[NodeId]) -> Vec<NodeId> {
+    pub fn alive(&self, now: Now, nodes: &[NodeId]) -> Vec<NodeId> {
         let living = |node: &NodeId| self.is_alive(now, *node);
         nodes.iter().copied().filter(living).collect()
     }
 
     /// Returns the voters after the most urgent change; `None` if no change is needed or possible.
-    pub fn wanted(&mut self, now: Now, voting: &Voting<'_>) -> Option<Vec<NodeId>> {
-        let Voting { voters, target, .. } = *voting;
-        let lost = self.lost(now, voting);
+    pub fn next_change(&mut self, now: Now, status: &VoterStatus<'_>) -> Option<Vec<NodeId>> {
+        let VoterStatus { voters, target, .. } = *status;
+        let lost = self.voter_to_replace(now, status);
         if voters.len() > target {
-            let out = lost.or_else(|| self.superfluous(now, voting))?;
+            let out = lost.or_else(|| self.surplus_voter(now, status))?;
             return Some(without(voters, out));
         }
         let staying = lost.map_or_else(|| voters.to_vec(), |lost| without(voters, lost));
         let added = self.candidate(now, voters, &staying)?;
-        if lost.is_none() && voters.len() == target && !self.spreads(added, voters) {
+        if lost.is_none() && voters.len() == target && !self.improves_spread(added, voters) {
             return None;
         }
         self.joining = Some(added);
@@ -182,63 +185,66 @@
     }
 
     /// The last change from [`Self::next_change`] was applied.
-    pub fn came_about(&mut self) {
+    pub fn change_applied(&mut self) {
         self.joining = None;
     }
 
     /// The last change from [`Self::next_change`] failed.
-    pub fn came_to_nothing(&mut self, now: Now) {
+    pub fn change_failed(&mut self, now: Now) {
         let joining = self.joining.take();
         if let Some(member) = joining.and_then(|node| self.members.get_mut(&node)) {
-            member.failed = Some(now);
+            member.failed_at = Some(now);
         }
     }
 
     /// Whether an alive node that isn't a voter could become one.
-    pub fn has_spare(&self, now: Now, voters: &[NodeId]) -> bool {
+    pub fn has_candidate(&self, now: Now, voters: &[NodeId]) -> bool {
         self.candidate(now, voters, &[]).is_some()
     }
 
     /// The voter that a leader should hand over to before it ends. It must be alive, not silent and
     /// not about to end.
-    pub fn heir(&self, now: Now, voting: &Voting<'_>) -> Option<NodeId> {
-        let voters = voting.voters.iter().copied();
+    pub fn successor(&self, now: Now, status: &VoterStatus<'_>) -> Option<NodeId> {
+        let voters = status.voters.iter().copied();
         let able = |v: &NodeId| {
             let leaving = self.members.get(v).is_some_and(|member| member.leaving);
-            *v != voting.leader && !leaving && !voting.silent.contains(v) && self.is_alive(now, *v)
+            *v != status.leader && !leaving && !status.silent.contains(v) && self.is_alive(now, *v)
         };
         voters
             .filter(able)
-            .max_by_key(|v| self.members.get(v).and_then(|m| m.heard))
+            .max_by_key(|v| self.members.get(v).and_then(|m| m.last_seen))
     }
 
     /// The voter that most needs to be replaced.
-    fn lost(&self, now: Now, voting: &Voting<'_>) -> Option<NodeId> {
-        let voters = || voting.voters.iter().copied();
+    fn voter_to_replace(&self, now: Now, status: &VoterStatus<'_>) -> Option<NodeId> {
+        let voters = || status.voters.iter().copied();
         let leaving = |v: &NodeId| self.members.get(v).is_some_and(|member| member.leaving);
         voters()
-            .find(|v| self.is_replaced(now, *v))
-            .or_else(|| voters().find(|v| voting.silent.contains(v)))
-            .or_else(|| voters().find(|v| leaving(v) && *v != voting.leader))
+            .find(|v| self.is_superseded(now, *v))
+            .or_else(|| voters().find(|v| status.silent.contains(v)))
+            .or_else(|| voters().find(|v| leaving(v) && *v != status.leader))
     }
 
     /// Whether the loss of one data centre would take fewer voters if `node` replaced a voter in
     /// the data centre that has the most.
-    fn spreads(&self, node: NodeId, voters: &[NodeId]) -> bool {
-        let most = voters.iter().map(|v| self.neighbours(*v, voters)).max();
-        self.neighbours(node, voters) + 1 < most.unwrap_or_default()
+    fn improves_spread(&self, node: NodeId, voters: &[NodeId]) -> bool {
+        let most = voters
+            .iter()
+            .map(|v| self.count_in_centre(*v, voters))
+            .max();
+        self.count_in_centre(node, voters) + 1 < most.unwrap_or_default()
     }
 
     /// The voter to remove from a list that is too long, once all voters are alive. It is in the
     /// data centre that has the most voters, so that the loss of a data centre takes as few voters
     /// as possible.
-    fn superfluous(&self, now: Now, voting: &Voting<'_>) -> Option<NodeId> {
-        let voters = voting.voters.iter().copied();
+    fn surplus_voter(&self, now: Now, status: &VoterStatus<'_>) -> Option<NodeId> {
+        let voters = status.voters.iter().copied();
         if voters.clone().any(|v| !self.is_alive(now, v)) {
             return None;
         }
-        let others = voters.filter(|v| *v != voting.leader);
-        others.max_by_key(|v| (self.neighbours(*v, voting.voters), *v))
+        let others = voters.filter(|v| *v != status.leader);
+        others.max_by_key(|v| (self.count_in_centre(*v, status.voters), *v))
     }
 
     /// The best alive node that isn't a voter. Prefers data centres with few of the voters that
@@ -248,12 +254,16 @@
             !voters.contains(node)
                 && !member.leaving
                 && self.is_alive(now, **node)
-                && !self.is_replaced(now, **node)
+                && !self.is_superseded(now, **node)
         });
-        let failed = |member: &Member| member.failed.is_some_and(|at| now < at + LAST_CHOICE);
-        let stale = |member: &Member| member.heard.is_none_or(|heard| now >= heard + FRESH);
+        let failed = |member: &Member| member.failed_at.is_some_and(|at| now < at + FAILED_BACKOFF);
+        let stale = |member: &Member| {
+            member
+                .last_seen
+                .is_none_or(|last_seen| now >= last_seen + FRESH_WITHIN)
+        };
         let rank = |node: NodeId, member: &Member| {
-            let neighbours = self.neighbours(node, staying);
+            let neighbours = self.count_in_centre(node, staying);
             (failed(member), stale(member), neighbours, node)
         };
         let best = able.min_by_key(|(node, member)| rank(**node, member));
@@ -261,23 +271,23 @@
     }
 
     /// How many of `nodes` are in the same data centre as `node`.
-    fn neighbours(&self, node: NodeId, nodes: &[NodeId]) -> usize {
+    fn count_in_centre(&self, node: NodeId, nodes: &[NodeId]) -> usize {
         let centre = |node: &NodeId| self.members.get(node).map(|m| &m.data_centre);
         nodes.iter().filter(|n| centre(n) == centre(&node)).count()
     }
 
     fn is_alive(&self, now: Now, node: NodeId) -> bool {
-        let heard = self.members.get(&node).and_then(|member| member.heard);
-        heard.is_some_and(|heard| now < heard + ALIVE)
+        let last_seen = self.members.get(&node).and_then(|member| member.last_seen);
+        last_seen.is_some_and(|last_seen| now < last_seen + ALIVE_WITHIN)
     }
 
     /// Whether another id is alive at this node's address and was heard from later.
-    fn is_replaced(&self, now: Now, node: NodeId) -> bool {
-        let heard = self.members.get(&node).and_then(|member| member.heard);
+    fn is_superseded(&self, now: Now, node: NodeId) -> bool {
+        let last_seen = self.members.get(&node).and_then(|member| member.last_seen);
         self.members.iter().any(|(other, member)| {
             *other != node
                 && ip(*other) == ip(node)
-                && member.heard > heard
+                && member.last_seen > last_seen
                 && self.is_alive(now, *other)
         })
     }
--- a/src/manager/metrics.rs
+++ b/src/manager/metrics.rs
@@ -21,32 +21,32 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Outcome {
+struct OutcomeLabel {
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Ordered {
+struct OrderLabels {
     order: &'static str,
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Kind {
+struct OrderLabel {
     order: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Share {
+struct PhaseLabel {
     part: &'static str,
 }
 
 /// The phases of a turn of the control task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Phase {
     /// Handles inputs and applies committed entries.
     Take,
     /// The leader decides and sends its orders.
@@ -55,9 +55,9 @@
     Rest,
 }
 
-impl Part {
+impl Phase {
     /// The phase's label value.
-    fn word(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Take => "take",
             Self::Plan => "plan",
@@ -70,11 +70,11 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    replies: Family<Outcome, Counter>,
+    replies: Family<OutcomeLabel, Counter>,
     reply_time: Histogram,
     retries: Counter,
-    orders: Family<Ordered, Counter>,
-    order_time: Family<Kind, Histogram>,
+    orders: Family<OrderLabels, Counter>,
+    order_time: Family<OrderLabel, Histogram>,
     /// 1 while this node leads.
     pub leading: Gauge,
     /// The current term of the log.
@@ -100,17 +100,17 @@
     pub suspected: Gauge,
     /// Jobs that failed because one of their tasks crashes the hosts that run it. Only the leader
     /// counts them.
-    pub convicted: Counter,
+    pub poison_jobs: Counter,
     /// 1 once this node knows its cluster.
     pub joined: Gauge,
     /// Links refused or dropped because the peer belongs to another cluster.
-    pub refused: Counter,
+    pub links_refused: Counter,
     /// Share of the last second in which the thread that runs the tasks was busy.
-    pub busy: Gauge<f64, AtomicU64>,
+    pub busy_ratio: Gauge<f64, AtomicU64>,
     input_wait: Histogram,
     batch: Histogram,
-    turn_time: Family<Share, Histogram>,
-    beat_age: Histogram,
+    turn_time: Family<PhaseLabel, Histogram>,
+    heartbeat_age: Histogram,
     start_delay: Histogram,
 }
 
@@ -119,10 +119,10 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("egretpin"),
             replies: Family::default(),
-            reply_time: times(),
+            reply_time: duration_histogram(),
             retries: Counter::default(),
             orders: Family::default(),
-            order_time: Family::new_with_constructor(times),
+            order_time: Family::new_with_constructor(duration_histogram),
             leading: Gauge::default(),
             term: Gauge::default(),
             applied: Gauge::default(),
@@ -134,15 +134,15 @@
             placed: Gauge::default(),
             under_way: Gauge::default(),
             suspected: Gauge::default(),
-            convicted: Counter::default(),
+            poison_jobs: Counter::default(),
             joined: Gauge::default(),
-            refused: Counter::default(),
-            busy: Gauge::default(),
-            input_wait: times(),
+            links_refused: Counter::default(),
+            busy_ratio: Gauge::default(),
+            input_wait: duration_histogram(),
             batch: Histogram::new(exponential_buckets(1.0, 2.0, 9)),
-            turn_time: Family::new_with_constructor(times),
-            beat_age: times(),
-            start_delay: times(),
+            turn_time: Family::new_with_constructor(duration_histogram),
+            heartbeat_age: duration_histogram(),
+            start_delay: duration_histogram(),
         };
         metrics.register();
         metrics
@@ -151,14 +151,14 @@
 
 /// A histogram of durations from a millisecond to eight seconds. Nothing that is measured may take
 /// longer.
-fn times() -> Histogram {
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
 
 impl Metrics {
     fn register(&mut self) {
         for outcome in OUTCOMES {
-            drop(self.replies.get_or_create(&Outcome { outcome }));
+            drop(self.replies.get_or_create(&OutcomeLabel { outcome }));
         }
         let registry = &mut self.registry;
         registry.register(
@@ -226,17 +226,17 @@
         registry.register(
             "jobs_convicted",
             "Jobs that have failed since a task of theirs ends the hosts that run it",
-            self.convicted.clone(),
+            self.poison_jobs.clone(),
         );
         registry.register(
             "links_refused",
             "Links refused or dropped, as the peer is of another cluster",
-            self.refused.clone(),
+            self.links_refused.clone(),
         );
         registry.register(
             "busy_ratio",
             "The part of the last second that the thread of the tasks was busy",
-            self.busy.clone(),
+            self.busy_ratio.clone(),
         );
         registry.register(
             "input_wait_seconds",
@@ -256,7 +256,7 @@
         registry.register(
             "heard_age_seconds",
             "How long ago an agent was heard when something was placed there",
-            self.beat_age.clone(),
+            self.heartbeat_age.clone(),
         );
         registry.register(
             "start_delay_seconds",
@@ -266,50 +266,50 @@
     }
 
     /// Counts a reply and records how long it took.
-    pub fn replied(&self, reply: &Reply, took: Duration) {
-        let outcome = outcome(reply);
-        self.replies.get_or_create(&Outcome { outcome }).inc();
+    pub fn record_reply(&self, reply: &Reply, took: Duration) {
+        let outcome = reply_label(reply);
+        self.replies.get_or_create(&OutcomeLabel { outcome }).inc();
         self.reply_time.observe(took.as_secs_f64());
     }
 
     /// Counts a request that was sent again.
-    pub fn retried(&self) {
+    pub fn record_retry(&self) {
         self.retries.inc();
     }
 
     /// Counts the answer to an order and records how long it took.
-    pub fn ordered(&self, what: &What, answer: &Answer, took: Duration) {
-        let (order, outcome) = (order(what), answered(answer));
-        let label = Ordered { order, outcome };
+    pub fn record_answer(&self, what: &What, answer: &Answer, took: Duration) {
+        let (order, outcome) = (order_label(what), answer_label(answer));
+        let label = OrderLabels { order, outcome };
         self.orders.get_or_create(&label).inc();
-        let time = self.order_time.get_or_create(&Kind { order });
+        let time = self.order_time.get_or_create(&OrderLabel { order });
         time.observe(took.as_secs_f64());
     }
 
     /// Records the longest time that an input of a turn waited.
-    pub fn waited(&self, wait: Duration) {
+    pub fn record_wait(&self, wait: Duration) {
         self.input_wait.observe(wait.as_secs_f64());
     }
 
     /// Records the number of inputs of a turn.
-    pub fn batched(&self, inputs: usize) {
+    pub fn record_batch(&self, inputs: usize) {
         self.batch.observe(inputs as f64);
     }
 
     /// Records the duration of a phase of a turn.
-    pub fn turned(&self, part: Part, took: Duration) {
-        let part = part.word();
-        let time = self.turn_time.get_or_create(&Share { part });
+    pub fn record_phase(&self, part: Phase, took: Duration) {
+        let part = part.label();
+        let time = self.turn_time.get_or_create(&PhaseLabel { part });
         time.observe(took.as_secs_f64());
     }
 
     /// Records the age of an agent's last heartbeat when a task was placed there.
-    pub fn placed_after(&self, age: Duration) {
-        self.beat_age.observe(age.as_secs_f64());
+    pub fn record_heartbeat_age(&self, age: Duration) {
+        self.heartbeat_age.observe(age.as_secs_f64());
     }
 
     /// Records the time from the decision to start an attempt until its order was sent.
-    pub fn start_sent_after(&self, delay: Duration) {
+    pub fn record_start_delay(&self, delay: Duration) {
         self.start_delay.observe(delay.as_secs_f64());
     }
 
@@ -343,7 +343,7 @@
 ];
 
 /// The label of a reply in metrics and logs.
-pub fn outcome(reply: &Reply) -> &'static str {
+pub fn reply_label(reply: &Reply) -> &'static str {
     match reply {
         Reply::Done => "done",
         Reply::State(_) => "state",
@@ -357,12 +357,12 @@
         Reply::Invalid(_) => "invalid",
         Reply::Unclear => "unclear",
         Reply::Refused(Refused::NotLeader(_)) => "not_leader",
-        Reply::Refused(why) => why.word(),
+        Reply::Refused(why) => why.label(),
     }
 }
 
 /// The label of an order in metrics and logs.
-pub fn order(what: &What) -> &'static str {
+pub fn order_label(what: &What) -> &'static str {
     match what {
         What::Start(_) => "start",
         What::Stop { .. } => "stop",
@@ -376,7 +376,7 @@
 }
 
 /// The label of an answer in metrics and logs.
-pub fn answered(answer: &Answer) -> &'static str {
+pub fn answer_label(answer: &Answer) -> &'static str {
     match answer {
         Answer::Done { .. } | Answer::Report(_) | Answer::Hosts(_) | Answer::Eligible(_) => "done",
         Answer::Reborn => "reborn",
--- a/src/manager/outputs.rs
+++ b/src/manager/outputs.rs
@@ -5,9 +5,9 @@
 
 use super::{
     ask::{Refused, Reply},
-    control::Task,
+    control::ControlTask,
     frame::Frame,
-    waiting::Asker,
+    waiting::ReplyTo,
 };
 use crate::{
     core::{
@@ -21,11 +21,11 @@
     node::{clock::wall, disk::Write},
 };
 
-impl Task {
-    pub(super) fn carry_out(&mut self, output: Output) {
+impl ControlTask {
+    pub(super) fn handle_output(&mut self, output: Output) {
         match output {
             Output::Send { to, message } => {
-                self.ports.mesh.send(to, Frame::Log(message).encode());
+                self.ports.mesh.send(to, Frame::Consensus(message).encode());
             }
             Output::Write { write, record } => self.writes.push(Write { write, record }),
             Output::Apply(entry) => self.apply(&entry),
@@ -34,9 +34,9 @@
                     log::info!(index; "restored the ledger from a snapshot");
                     self.ledger = ledger;
                     self.catalog = None;
-                    self.compacted = index;
-                    self.bytes = 0;
-                    self.join();
+                    self.snapshot_index = index;
+                    self.applied_bytes = 0;
+                    self.adopt_cluster();
                 }
                 Err(error) => self.fail(format!("snapshot at {index}: {error}")),
             },
@@ -45,55 +45,55 @@
                 term,
                 index,
             } => {
-                if let Some(asker) = self.waiting.placed(proposal, term, index) {
-                    self.reply(asker, Reply::Unclear);
+                if let Some(reply_to) = self.proposals.appended(proposal, term, index) {
+                    self.reply(reply_to, Reply::Unclear);
                 }
             }
             Output::Resigned { term, why } => {
                 log::info!(term, why = why.label(); "this node stepped down as the leader");
             }
             Output::Rejected { proposal, leader } => {
-                if let Some(asker) = self.waiting.rejected(proposal) {
+                if let Some(reply_to) = self.proposals.rejected(proposal) {
                     // A node that stopped leading can't know why the change failed.
-                    if matches!(asker, Asker::Membership) && self.node.is_leader() {
+                    if matches!(reply_to, ReplyTo::Membership) && self.node.is_leader() {
                         let now = self.now();
-                        self.members.came_to_nothing(now);
+                        self.members.change_failed(now);
                     }
                     let why = match leader {
                         Some(leader) if leader == self.node.id() => Refused::Overloaded,
                         leader => Refused::NotLeader(leader),
                     };
-                    self.reply(asker, Reply::Refused(why));
+                    self.reply(reply_to, Reply::Refused(why));
                 }
             }
         }
     }
 
     fn apply(&mut self, entry: &Entry) {
-        let waiter = self.waiting.applied(entry.term, entry.index);
+        let waiter = self.proposals.applied(entry.term, entry.index);
         let (waiter, command) = waiter.map_or((None, None), |applied| {
-            (Some((applied.asker, applied.own)), applied.command)
+            (Some((applied.reply_to, applied.matches)), applied.command)
         });
         if let Content::Command(payload) = &entry.content {
-            self.bytes += payload.len();
+            self.applied_bytes += payload.len();
             match command.map_or_else(|| Command::decode(payload), Ok) {
                 Ok(command) => self.apply_command(entry.index, &command),
                 Err(error) => self.fail(format!("entry {}: {error}", entry.index)),
             }
         }
-        if let Some((asker, own)) = waiter {
-            if matches!(asker, Asker::Membership) {
+        if let Some((reply_to, matches)) = waiter {
+            if matches!(reply_to, ReplyTo::Membership) {
                 // The next change is due at once: while a lost voter is on a longer list, the
                 // cluster tolerates fewer losses.
-                self.tend_due = None;
-                self.members.came_about();
+                self.check_due = None;
+                self.members.change_applied();
             }
-            let reply = if own {
+            let reply = if matches {
                 Reply::Done
             } else {
                 Reply::Refused(Refused::NotLeader(self.node.leader()))
             };
-            self.reply(asker, reply);
+            self.reply(reply_to, reply);
         }
     }
 
@@ -110,13 +110,13 @@
             scheduler.applied(now, wall(), &self.ledger, command, &changes);
         }
         if let Command::Found(_) = command {
-            self.join();
+            self.adopt_cluster();
         }
         if let Command::Submit(submission) = command {
-            let submitted = self.submitting.remove(&submission.job);
+            let submitted = self.submissions.remove(&submission.job);
             let waiting = submitted.map_or_else(Vec::new, |submitted| submitted.waiting);
-            for asker in waiting {
-                self.reply(asker, Reply::Done);
+            for reply_to in waiting {
+                self.reply(reply_to, Reply::Done);
             }
         }
         for change in changes {
@@ -134,7 +134,7 @@
             Change::Gone(agent) => log::info!(agent:%; "an agent incarnation has ended"),
             Change::Convicted(task) => {
                 log::warn!(task:%; "a job failed because one of its tasks crashes the hosts that run it");
-                self.ports.metrics.convicted.inc();
+                self.ports.metrics.poison_jobs.inc();
             }
             Change::Accepted(id) => {
                 if let Some(job) = self.ledger.job(id) {
--- a/src/manager/peers.rs
+++ b/src/manager/peers.rs
@@ -6,12 +6,12 @@
 use bytes::Bytes;
 
 use super::{
-    control::{TEND, Task, VIEW},
+    control::{CHECK_INTERVAL, ControlTask, VIEW_INTERVALS},
     frame::{Frame, View},
     identity::address,
-    membership::Voting,
-    ports::Seat,
-    waiting::Asker,
+    membership::VoterStatus,
+    ports::ControlStatus,
+    waiting::ReplyTo,
 };
 use crate::core::{
     consensus,
@@ -21,65 +21,65 @@
 
 /// Leadership isn't handed to a voter that has been silent for this long. Three heartbeat
 /// intervals.
-const HEIR: Duration = Duration::from_millis(300);
+const SUCCESSOR_SILENCE: Duration = Duration::from_millis(300);
 
-impl Task {
+impl ControlTask {
     /// Dials the known control nodes and, as the leader, proposes changes of the voters.
-    pub(super) fn tend(&mut self) {
+    pub(super) fn maintain_peers(&mut self) {
         let now = self.now();
-        if self.tend_due.is_some_and(|due| now < due) {
+        if self.check_due.is_some_and(|due| now < due) {
             return;
         }
-        self.tend_due = Some(now + TEND);
+        self.check_due = Some(now + CHECK_INTERVAL);
         let me = self.node.id();
         let centre = self.data_centre.clone();
-        self.members.heard(now, me, centre, self.leaving);
+        self.members.record_contact(now, me, centre, self.leaving);
         for voter in self.node.voters().to_vec() {
             self.dial(voter);
         }
-        self.watch_voters(now);
+        self.log_voters(now);
         self.members.forget(now);
-        self.find_relays(now);
-        if self.kept.is_due(now) {
-            self.join();
+        self.update_relays(now);
+        if self.save_state.is_due(now) {
+            self.adopt_cluster();
         }
         if self.leaving && self.node.is_leader() {
             return self.hand_over(now);
         }
-        if self.scheduler.is_none() || !self.leads() || self.node.is_changing() {
+        if self.scheduler.is_none() || !self.holds_lease() || self.node.is_changing() {
             return;
         }
-        self.found(now);
-        let voting = Voting {
+        self.propose_cluster(now);
+        let status = VoterStatus {
             leader: me,
             voters: self.node.voters(),
-            silent: &self.node.silent(self.silence),
-            target: self.voters,
+            silent: &self.node.silent(self.silence_limit),
+            target: self.target_voters,
         };
-        let wanted = self.members.wanted(now, &voting);
+        let wanted = self.members.next_change(now, &status);
         if let Some(voters) = wanted {
             log::info!(voters:? = voters, now:? = self.node.voters(); "proposing a change of the voters");
-            let proposal = self.waiting.propose(Asker::Membership, None);
+            let proposal = self.proposals.propose(ReplyTo::Membership, None);
             self.consensus(consensus::Input::Reconfigure { proposal, voters });
         }
     }
 
     /// Updates the nodes that can execute orders as relays.
-    fn find_relays(&mut self, now: Now) {
-        let mut others = self.members.others(now, self.node.id());
-        others.retain(|(node, _)| self.carriers.contains(node));
-        self.relays.set(others);
+    fn update_relays(&mut self, now: Now) {
+        let mut others = self.members.fresh_peers(now, self.node.id());
+        others.retain(|(node, _)| self.relay_capable.contains(node));
+        self.relays.set_nodes(others);
     }
 
     /// Hands leadership over before this process ends. Called again until another node has it.
     fn hand_over(&mut self, now: Now) {
-        let voting = Voting {
+        let status = VoterStatus {
             leader: self.node.id(),
             voters: self.node.voters(),
-            silent: &self.node.silent(HEIR),
-            target: self.voters,
+            silent: &self.node.silent(SUCCESSOR_SILENCE),
+            target: self.target_voters,
         };
-        let to = self.members.heir(now, &voting);
+        let to = self.members.successor(now, &status);
         if to.is_some() && !self.node.is_handing() {
             self.consensus(consensus::Input::HandOver { to });
         }
@@ -88,28 +88,28 @@
     /// Logs the voters and those of them that this node hears when either changes. Without a
     /// leader, only this line distinguishes too few alive voters from alive voters that can't
     /// agree.
-    fn watch_voters(&mut self, now: Now) {
+    fn log_voters(&mut self, now: Now) {
         let voters = self.node.voters().to_vec();
-        let heard = self.members.living(now, &voters);
-        if (&voters, &heard) == (&self.voting.0, &self.voting.1) {
+        let heard = self.members.alive(now, &voters);
+        if (&voters, &heard) == (&self.logged_voters.0, &self.logged_voters.1) {
             return;
         }
         let (term, index) = (self.node.term(), self.node.last().index);
         log::info!(term, index, voters:?, heard:?; "the voters or the reachable ones among them changed");
-        self.voting = (voters, heard);
+        self.logged_voters = (voters, heard);
     }
 
     /// Publishes this node's status in the cluster when it changes.
-    fn show_seat(&mut self, now: Now) {
-        let seat = Seat {
+    fn publish_status(&mut self, now: Now) {
+        let status = ControlStatus {
             leader: self.node.leader(),
             votes: self.node.is_committed_voter(),
             leaving: self.leaving,
-            spare: self.leaving && self.has_substitute(now),
+            replaceable: self.leaving && self.has_substitute(now),
         };
-        self.ports.seat.send_if_modified(|shown| {
-            let changed = *shown != seat;
-            *shown = seat;
+        self.ports.status.send_if_modified(|shown| {
+            let changed = *shown != status;
+            *shown = status;
             changed
         });
     }
@@ -119,19 +119,19 @@
     /// this node in.
     fn has_substitute(&self, now: Now) -> bool {
         let voters = self.node.voters();
-        voters.len() > self.voters || self.members.has_spare(now, voters)
+        voters.len() > self.target_voters || self.members.has_candidate(now, voters)
     }
 
     /// Updates the gauges.
-    fn measure(&self) {
+    fn update_gauges(&self) {
         let metrics = &self.ports.metrics;
         let scheduler = self.scheduler.as_ref();
         metrics.leading.set(i64::from(scheduler.is_some()));
         metrics.term.set(count(self.node.term()));
         metrics.applied.set(count(self.ledger.applied()));
         metrics.votes.set(i64::from(self.node.is_voter()));
-        metrics.voters.set(size(self.voting.0.len()));
-        metrics.voters_heard.set(size(self.voting.1.len()));
+        metrics.voters.set(size(self.logged_voters.0.len()));
+        metrics.voters_heard.set(size(self.logged_voters.1.len()));
         let known = self.ports.mesh.claim().cluster.is_some();
         metrics.joined.set(i64::from(known));
         metrics.agents.set(size(self.ledger.agents().count()));
@@ -159,16 +159,16 @@
         address(node, self.mesh_port)
     }
 
-    pub(super) fn viewed(&mut self, from: NodeId, view: View) {
+    pub(super) fn handle_view(&mut self, from: NodeId, view: View) {
         let now = self.now();
         let mut new = self
             .members
-            .heard(now, from, view.data_centre, view.leaving);
-        if view.carries {
-            self.carriers.insert(from);
+            .record_contact(now, from, view.data_centre, view.leaving);
+        if view.relays {
+            self.relay_capable.insert(from);
         }
         for (node, centre) in view.controls {
-            new |= self.members.told(now, node, centre);
+            new |= self.members.record_mention(now, node, centre);
             self.dial(node);
         }
         if new {
@@ -178,24 +178,24 @@
     }
 
     /// Broadcasts this node's view to every linked node, at intervals and when it changes.
-    pub(super) fn tell(&mut self) {
+    pub(super) fn broadcast_view(&mut self) {
         let now = self.now();
         let leader = self.node.leader();
         let limits = self.catalog.as_ref().map(|catalog| catalog.limits);
-        let known = self.view.as_ref().is_some_and(|v| v.leader == leader);
-        let same = known && self.view.as_ref().is_some_and(|v| v.limits == limits);
+        let known = self.last_view.as_ref().is_some_and(|v| v.leader == leader);
+        let same = known && self.last_view.as_ref().is_some_and(|v| v.limits == limits);
         let pause = if self.scheduler.is_some() {
-            VIEW.0
+            VIEW_INTERVALS.0
         } else {
-            VIEW.1
+            VIEW_INTERVALS.1
         };
-        self.show_seat(now);
+        self.publish_status(now);
         if same && self.view_due.is_some_and(|due| now < due) {
             return;
         }
         self.view_due = Some(now + pause);
-        self.measure();
-        let controls = self.members.all(now);
+        self.update_gauges();
+        let controls = self.members.announced(now);
         let view = View {
             data_centre: self.data_centre.clone(),
             term: self.node.term(),
@@ -203,10 +203,10 @@
             leaving: self.leaving,
             controls: controls.clone(),
             limits,
-            carries: true,
+            relays: true,
         };
         if self
-            .view
+            .last_view
             .as_ref()
             .is_none_or(|v| v.controls != view.controls)
         {
@@ -221,7 +221,7 @@
         for peer in self.ports.mesh.peers() {
             self.ports.mesh.send(peer, frame.clone());
         }
-        self.view = Some(view);
+        self.last_view = Some(view);
     }
 }
 
--- a/src/manager/ports.rs
+++ b/src/manager/ports.rs
@@ -40,16 +40,16 @@
     /// The port that every node's mesh listens on.
     pub mesh_port: u16,
     /// How many nodes should vote.
-    pub voters: usize,
+    pub target_voters: usize,
     /// How long a voter may be silent before another node replaces it.
-    pub silence: Duration,
+    pub silence_limit: Duration,
     /// The settings of the scheduler.
     pub scheduler: Settings,
 }
 
 /// The status of a control node in the cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seat {
+pub struct ControlStatus {
     /// The leader, if it is known.
     pub leader: Option<NodeId>,
     /// Whether this node votes.
@@ -58,7 +58,7 @@
     pub leaving: bool,
     /// Whether another node can vote in this node's place when it ends, or has already been added
     /// for that.
-    pub spare: bool,
+    pub replaceable: bool,
 }
 
 /// The connections of a control node to the outside.
@@ -69,13 +69,13 @@
     pub perform: Perform,
     /// Time limit of an exchange with an agent, in addition to the time for which the agent may
     /// hold back its answer.
-    pub exchange: Duration,
+    pub exchange_limit: Duration,
     /// Decodes catalogs.
     pub decode: Decode,
     /// The metrics of the process.
     pub metrics: Arc<Metrics>,
     /// Receives the status of this node whenever it changes.
-    pub seat: watch::Sender<Seat>,
+    pub status: watch::Sender<ControlStatus>,
     /// Receives the reason why the process must stop.
     pub fatal: mpsc::UnboundedSender<String>,
 }
--- a/src/manager/questions.rs
+++ b/src/manager/questions.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use super::{
-    ask::{Ask, Beat, Call, Refused, Reply, Unknown, Verb},
-    control::{Submitting, Task},
-    waiting::Asker,
+    ask::{Call, Heartbeat, LeaderRequest, Refused, Reply, Unknown, Verb},
+    control::{ControlTask, PendingSubmission},
+    waiting::ReplyTo,
 };
 use crate::{
     core::{
@@ -22,41 +22,46 @@
     node::clock::wall,
 };
 
-impl Task {
-    pub(super) fn ask(&mut self, asker: Asker, ask: Ask) {
-        if self.scheduler.is_none() || !self.leads() {
+impl ControlTask {
+    pub(super) fn handle_request(&mut self, reply_to: ReplyTo, request: LeaderRequest) {
+        if self.scheduler.is_none() || !self.holds_lease() {
             let leader = self.node.leader().filter(|l| *l != self.node.id());
             let why = leader.map_or(Refused::NoLeader, |l| Refused::NotLeader(Some(l)));
-            return self.reply(asker, Reply::Refused(why));
+            return self.reply(reply_to, Reply::Refused(why));
         }
-        if self.full && !matches!(ask, Ask::ReadCatalog | Ask::WaveState(_)) {
-            return self.reply(asker, Reply::Refused(Refused::Overloaded));
+        if self.disk_full
+            && !matches!(
+                request,
+                LeaderRequest::ReadCatalog | LeaderRequest::WaveState(_)
+            )
+        {
+            return self.reply(reply_to, Reply::Refused(Refused::Overloaded));
         }
-        match ask {
-            Ask::Call(call) => self.call(asker, call),
-            Ask::Declare(document) => self.declare(asker, document),
-            Ask::ReadCatalog => {
+        match request {
+            LeaderRequest::Call(call) => self.call(reply_to, call),
+            LeaderRequest::Declare(document) => self.declare(reply_to, document),
+            LeaderRequest::ReadCatalog => {
                 let text = self.ledger.document().map(|d| d.text.clone());
                 let none = Reply::Refused(Refused::NoCatalog);
-                self.reply(asker, text.map_or(none, Reply::Catalog));
+                self.reply(reply_to, text.map_or(none, Reply::Catalog));
             }
-            Ask::Beat(beat) => self.beat(asker, &beat),
-            Ask::Leave(name) => self.agent_left(asker, &name),
-            Ask::BeginWave(wave) => self.propose(asker, Command::Wave(wave)),
-            Ask::WaveState(wave) => {
+            LeaderRequest::Heartbeat(heartbeat) => self.heartbeat(reply_to, &heartbeat),
+            LeaderRequest::Leave(name) => self.agent_left(reply_to, &name),
+            LeaderRequest::BeginWave(wave) => self.propose(reply_to, Command::Wave(wave)),
+            LeaderRequest::WaveState(wave) => {
                 let record = self.ledger.wave_record(wave);
                 let none = Reply::Unknown(Unknown::Wave);
                 let reply = record.map_or(none, |record| Reply::Wave {
                     through: record.left.is_empty(),
                 });
-                self.reply(asker, reply);
+                self.reply(reply_to, reply);
             }
         }
     }
 
     /// Handles an agent's notice that it ends. The name alone doesn't tell which incarnation sent
     /// it. An incarnation that never announced its end may be the next one, so it isn't ended.
-    fn agent_left(&mut self, asker: Asker, name: &Name) {
+    fn agent_left(&mut self, reply_to: ReplyTo, name: &Name) {
         let left =
             |agent: &&AgentRecord| agent.name() == name && (agent.leaving || agent.id == *name);
         let left = self
@@ -66,53 +71,53 @@
             .map(|agent| agent.id.clone());
         let Some(id) = left else {
             log::info!(agent:% = name; "ignored the end of an agent that never announced it");
-            return self.reply(asker, Reply::Done);
+            return self.reply(reply_to, Reply::Done);
         };
-        self.propose(asker, Command::Gone(id));
+        self.propose(reply_to, Command::Gone(id));
     }
 
-    fn declare(&mut self, asker: Asker, document: Document) {
+    fn declare(&mut self, reply_to: ReplyTo, document: Document) {
         let held = self.ledger.document().map_or(0, |d| d.version);
         if self.ledger.document().is_some() && document.version <= held {
             // A version that isn't newer has no effect, but is acknowledged.
-            return self.reply(asker, Reply::Done);
+            return self.reply(reply_to, Reply::Done);
         }
-        self.propose(asker, Command::Declare(document));
+        self.propose(reply_to, Command::Declare(document));
     }
 
-    fn call(&mut self, asker: Asker, call: Call) {
+    fn call(&mut self, reply_to: ReplyTo, call: Call) {
         let Some(catalog) = self.read_catalog() else {
-            return self.reply(asker, Reply::Refused(Refused::NoCatalog));
+            return self.reply(reply_to, Reply::Refused(Refused::NoCatalog));
         };
         let Some((queue, place)) = catalog.find(&call.host, &call.path) else {
-            return self.reply(asker, Reply::Unknown(Unknown::Queue));
+            return self.reply(reply_to, Reply::Unknown(Unknown::Queue));
         };
         let Ok(caller) = catalog.caller(queue, call.key) else {
-            log::info!(queue:% = queue.name, verb = call.verb.word(), shown = call.key.is_some(); "refused a call without a valid key for the queue");
-            return self.reply(asker, Reply::Denied);
+            log::info!(queue:% = queue.name, verb = call.verb.label(), shown = call.key.is_some(); "refused a call without a valid key for the queue");
+            return self.reply(reply_to, Reply::Denied);
         };
         let seen = |job: &&Job| catalog.may_see(caller, job);
         let reply = match (place, call.verb) {
             (Place::Job(job), Verb::Submit(spec)) => {
-                return self.submit(asker, job, queue, caller, *spec);
+                return self.submit(reply_to, job, queue, caller, *spec);
             }
-            (Place::Job(job), Verb::Cancel) => return self.cancel(asker, job, caller),
-            (Place::Job(job), Verb::Look) => {
+            (Place::Job(job), Verb::Cancel) => return self.cancel(reply_to, job, caller),
+            (Place::Job(job), Verb::Read) => {
                 let job = self.ledger.job(job).filter(seen);
                 job.map_or(Reply::Unknown(Unknown::Job), |job| Reply::State(job.state))
             }
-            (Place::Queue, Verb::Look) => Reply::Pending(self.ledger.pending(&queue.name)),
-            (Place::Nothing, Verb::Look | Verb::Cancel) => Reply::Unknown(Unknown::Job),
+            (Place::Queue, Verb::Read) => Reply::Pending(self.ledger.pending(&queue.name)),
+            (Place::Nothing, Verb::Read | Verb::Cancel) => Reply::Unknown(Unknown::Job),
             (Place::Queue | Place::Nothing, Verb::Submit(_) | Verb::Cancel) => Reply::Invalid(
                 "the path must end with the job's number, 16 hexadecimal digits".to_owned(),
             ),
         };
-        self.reply(asker, reply);
+        self.reply(reply_to, reply);
     }
 
     fn submit(
         &mut self,
-        asker: Asker,
+        reply_to: ReplyTo,
         job: u64,
         queue: &QueueSpec,
         caller: Option<&WorkspaceSpec>,
@@ -125,13 +130,13 @@
                 .catalog
                 .as_ref()
                 .is_none_or(|c| c.may_see(caller, known));
-            return self.reply(asker, if own { Reply::Done } else { taken() });
+            return self.reply(reply_to, if own { Reply::Done } else { taken() });
         }
-        if let Some(submitted) = self.submitting.get_mut(&job) {
+        if let Some(submitted) = self.submissions.get_mut(&job) {
             if submitted.workspace != workspace {
-                return self.reply(asker, taken());
+                return self.reply(reply_to, taken());
             }
-            submitted.waiting.push(asker);
+            submitted.waiting.push(reply_to);
             return;
         }
         let submission = Submission {
@@ -142,62 +147,61 @@
             spec,
             accepted: wall(),
         };
-        if let Some(wait) = self.comeback(&submission) {
-            return self.reply(asker, Reply::Refused(Refused::Storm(wait)));
+        if let Some(wait) = self.retry_after(&submission) {
+            return self.reply(reply_to, Reply::Refused(Refused::Storm(wait)));
         }
         let waiting = Vec::new();
-        self.submitting
-            .insert(job, Submitting { workspace, waiting });
-        self.propose(asker, Command::Submit(Box::new(submission)));
+        self.submissions
+            .insert(job, PendingSubmission { workspace, waiting });
+        self.propose(reply_to, Command::Submit(Box::new(submission)));
     }
 
     /// When to retry a job that the leader doesn't accept now; `None` if it is accepted.
-    fn comeback(&self, submission: &Submission) -> Option<Duration> {
+    fn retry_after(&self, submission: &Submission) -> Option<Duration> {
         let scheduler = self.scheduler.as_ref()?;
-        scheduler.comeback(self.now(), &self.ledger, submission, self.submitting.len())
+        scheduler.comeback(self.now(), &self.ledger, submission, self.submissions.len())
     }
 
-    fn cancel(&mut self, asker: Asker, job: u64, caller: Option<&WorkspaceSpec>) {
+    fn cancel(&mut self, reply_to: ReplyTo, job: u64, caller: Option<&WorkspaceSpec>) {
         let Some(found) = self.ledger.job(job) else {
             let workspace = caller.map(|caller| &caller.name);
-            let submitted = self.submitting.get(&job);
+            let submitted = self.submissions.get(&job);
             if submitted.is_some_and(|job| job.workspace.as_ref() == workspace) {
-                return self.propose(asker, Command::Cancel(job));
+                return self.propose(reply_to, Command::Cancel(job));
             }
-            return self.reply(asker, Reply::Unknown(Unknown::Job));
+            return self.reply(reply_to, Reply::Unknown(Unknown::Job));
         };
         let own = self
             .catalog
             .as_ref()
             .is_none_or(|c| c.may_see(caller, found));
         if !own {
-            return self.reply(asker, Reply::Unknown(Unknown::Job));
+            return self.reply(reply_to, Reply::Unknown(Unknown::Job));
         }
         if found.is_over() {
-            return self.reply(asker, Reply::Done);
+            return self.reply(reply_to, Reply::Done);
         }
-        self.propose(asker, Command::Cancel(job));
+        self.propose(reply_to, Command::Cancel(job));
     }
 
-    fn beat(&mut self, asker: Asker, beat: &Beat) {
-        if let Some(why) = self.is_foreign(&beat.agent) {
-            log::info!(agent:% = beat.agent.id, why; "refused a heartbeat");
-            return self.reply(asker, Reply::Invalid(why));
+    fn heartbeat(&mut self, reply_to: ReplyTo, heartbeat: &Heartbeat) {
+        if let Some(why) = self.pool_mismatch(&heartbeat.agent) {
+            log::info!(agent:% = heartbeat.agent.id, why; "refused a heartbeat");
+            return self.reply(reply_to, Reply::Invalid(why));
         }
         let now = self.now();
-        let news = self
-            .scheduler
-            .as_mut()
-            .and_then(|scheduler| scheduler.heard(now, &self.ledger, &beat.agent, beat.clock));
+        let news = self.scheduler.as_mut().and_then(|scheduler| {
+            scheduler.heard(now, &self.ledger, &heartbeat.agent, heartbeat.clock)
+        });
         match news {
-            Some(news) => self.propose(asker, news),
-            None => self.reply(asker, Reply::Done),
+            Some(news) => self.propose(reply_to, news),
+            None => self.reply(reply_to, Reply::Done),
         }
     }
 
     /// Why an agent's heartbeat doesn't fit the pools, if it doesn't. An incarnation keeps its
     /// pool, and a known one may go on even if the catalog no longer has its pool.
-    fn is_foreign(&mut self, record: &AgentRecord) -> Option<String> {
+    fn pool_mismatch(&mut self, record: &AgentRecord) -> Option<String> {
         if let Some(known) = self.ledger.agent(&record.id) {
             let same = known.pool == record.pool;
             return (!same).then(|| format!("service: it was {} before", known.pool));
--- a/src/manager/relays.rs
+++ b/src/manager/relays.rs
@@ -36,7 +36,7 @@
 //!
 //! let mut relays = Relays::default();
 //! let east = (1, "east".into());
-//! relays.set(vec![east, (2, "west".into())]);
+//! relays.set_nodes(vec![east, (2, "west".into())]);
 //! let now = Duration::from_secs(1);
 //! let what = What::Stop {
 //!     to: Target {
@@ -67,29 +67,29 @@
 
 /// Added to the time limit of an exchange with an agent, for both ways through the mesh and a turn
 /// at each end. The turns of a fully loaded relay take up to 20 ms.
-const WAYS: Duration = Duration::from_millis(300);
+const MESH_ALLOWANCE: Duration = Duration::from_millis(300);
 /// How long a relay isn't trusted after it first leaves an order unanswered. Longer than it takes
 /// to redial a silent link. Doubles with each repetition up to eight times this value.
-const DISTRUST: Duration = Duration::from_secs(2);
+const DISTRUST_BASE: Duration = Duration::from_secs(2);
 /// Number of buckets that agents' addresses are spread over.
-const NUMBERS: u32 = 1 << 16;
+const BUCKETS: u32 = 1 << 16;
 /// A relay that answers for this long after it is trusted again starts with no failures.
-const PROVEN: Duration = Duration::from_secs(20);
+const PROBATION: Duration = Duration::from_secs(20);
 
 /// A relay that left orders unanswered.
 #[derive(Clone, Copy, Debug)]
 struct Distrust {
     until: Now,
     /// Consecutive failures before this one.
-    times: u32,
+    failures: u32,
 }
 
 /// An order that a relay is executing.
 #[derive(Clone, Copy, Debug)]
-struct Carried {
+struct RelayedOrder {
     relay: NodeId,
     /// The agent's address.
-    to: SocketAddr,
+    address: SocketAddr,
     due: Now,
 }
 
@@ -99,25 +99,25 @@
     /// The nodes that execute orders as relays, sorted.
     nodes: Vec<(NodeId, DataCentreId)>,
     distrusted: Map<NodeId, Distrust>,
-    carried: Map<OrderId, Carried>,
-    agenda: BTreeSet<(Now, OrderId)>,
+    in_flight: Map<OrderId, RelayedOrder>,
+    deadlines: BTreeSet<(Now, OrderId)>,
     /// The orders to send to each relay next.
     batches: Map<NodeId, Vec<Order>>,
     /// Addresses of agents whose last order through a relay got no answer.
     unreached: Set<SocketAddr>,
     /// Orders to such agents that the leader executes itself.
-    here: Map<OrderId, SocketAddr>,
+    direct: Map<OrderId, SocketAddr>,
 }
 
 impl Relays {
     /// Replaces the nodes that execute orders as relays.
-    pub fn set(&mut self, mut nodes: Vec<(NodeId, DataCentreId)>) {
+    pub fn set_nodes(&mut self, mut nodes: Vec<(NodeId, DataCentreId)>) {
         nodes.sort_unstable();
         self.nodes = nodes;
     }
 
     /// Resets the state when this node becomes leader again. Earlier orders aren't waited for.
-    pub fn begin(&mut self) {
+    pub fn reset(&mut self) {
         let nodes = std::mem::take(&mut self.nodes);
         *self = Self {
             nodes,
@@ -130,8 +130,8 @@
     /// is trusted or reaches the agent.
     pub fn choose(&self, now: Now, share: f64, what: &What) -> Option<NodeId> {
         let to = what.target()?;
-        let number = number(to.address);
-        if f64::from(number) >= share * f64::from(NUMBERS) || self.unreached.contains(&to.address) {
+        let bucket = bucket(to.address);
+        if f64::from(bucket) >= share * f64::from(BUCKETS) || self.unreached.contains(&to.address) {
             return None;
         }
         let trusted = || {
@@ -139,7 +139,7 @@
             nodes.filter(|(node, _)| self.is_trusted(now, *node))
         };
         let near = || trusted().filter(|(_, centre)| *centre == to.data_centre);
-        let place = |count: usize| usize::try_from(number).unwrap_or_default() % count.max(1);
+        let place = |count: usize| usize::try_from(bucket).unwrap_or_default() % count.max(1);
         let nearest = near().nth(place(near().count()));
         let any = || trusted().nth(place(trusted().count()));
         nearest.or_else(any).map(|(node, _)| *node)
@@ -147,13 +147,20 @@
 
     /// Assigns an order to a relay. `exchange` is the time limit of the relay's exchange with the
     /// agent.
-    pub fn carry(&mut self, now: Now, relay: NodeId, exchange: Duration, order: Order) {
-        let Some(to) = order.what.target().map(|to| to.address) else {
+    pub fn assign(&mut self, now: Now, relay: NodeId, exchange: Duration, order: Order) {
+        let Some(address) = order.what.target().map(|to| to.address) else {
             return;
         };
-        let due = now + order.what.wait() + exchange + WAYS;
-        self.agenda.insert((due, order.id));
-        self.carried.insert(order.id, Carried { relay, to, due });
+        let due = now + order.what.wait() + exchange + MESH_ALLOWANCE;
+        self.deadlines.insert((due, order.id));
+        self.in_flight.insert(
+            order.id,
+            RelayedOrder {
+                relay,
+                address,
+                due,
+            },
+        );
         self.batches.entry(relay).or_default().push(order);
     }
 
@@ -166,33 +173,33 @@
 
     /// Records a relay's answer to an order. Returns whether the answer is still waited for.
     /// `reached` says whether the agent answered the relay.
-    pub fn answered(&mut self, relay: NodeId, order: OrderId, reached: bool) -> bool {
-        let Some(carried) = self.carried.get(&order).copied() else {
+    pub fn record_answer(&mut self, relay: NodeId, order: OrderId, reached: bool) -> bool {
+        let Some(carried) = self.in_flight.get(&order).copied() else {
             return false;
         };
         if carried.relay != relay {
             return false;
         }
-        self.carried.remove(&order);
-        self.agenda.remove(&(carried.due, order));
+        self.in_flight.remove(&order);
+        self.deadlines.remove(&(carried.due, order));
         if !reached {
-            self.unreached.insert(carried.to);
+            self.unreached.insert(carried.address);
         }
         true
     }
 
     /// Records that the leader executes an order to an agent that its relay doesn't reach.
-    pub fn send_here(&mut self, order: &Order) {
+    pub fn record_direct(&mut self, order: &Order) {
         let to = order.what.target().map(|to| to.address);
         if let Some(to) = to.filter(|to| self.unreached.contains(to)) {
-            self.here.insert(order.id, to);
+            self.direct.insert(order.id, to);
         }
     }
 
     /// Records the outcome of an order that the leader executed itself. If the agent answered, its
     /// next order may go through its relay again.
-    pub fn answered_here(&mut self, order: OrderId, reached: bool) {
-        let to = self.here.remove(&order);
+    pub fn record_direct_answer(&mut self, order: OrderId, reached: bool) {
+        let to = self.direct.remove(&order);
         if let Some(to) = to.filter(|_| reached) {
             self.unreached.remove(&to);
         }
@@ -202,12 +209,12 @@
     /// trusted for a while, and all other orders that it has count as unanswered as well.
     pub fn expire(&mut self, now: Now) -> Vec<OrderId> {
         let mut late = Set::default();
-        while let Some((due, order)) = self.agenda.first().copied() {
+        while let Some((due, order)) = self.deadlines.first().copied() {
             if now < due {
                 break;
             }
-            self.agenda.pop_first();
-            if let Some(carried) = self.carried.get(&order) {
+            self.deadlines.pop_first();
+            if let Some(carried) = self.in_flight.get(&order) {
                 late.insert(carried.relay);
             }
         }
@@ -217,13 +224,13 @@
         for relay in &late {
             self.distrust(now, *relay);
         }
-        let lost = self.carried.iter();
+        let lost = self.in_flight.iter();
         let lost = lost.filter(|(_, carried)| late.contains(&carried.relay));
         let mut lost: Vec<_> = lost.map(|(order, _)| *order).collect();
         lost.sort_unstable();
         for order in &lost {
-            if let Some(carried) = self.carried.remove(order) {
-                self.agenda.remove(&(carried.due, *order));
+            if let Some(carried) = self.in_flight.remove(order) {
+                self.deadlines.remove(&(carried.due, *order));
             }
         }
         lost
@@ -232,11 +239,11 @@
     /// Stops using a relay for a while.
     pub fn distrust(&mut self, now: Now, relay: NodeId) {
         let before = self.distrusted.get(&relay);
-        let recent = before.filter(|before| now < before.until + PROVEN);
-        let times = recent.map_or(0, |before| before.times + 1);
-        let until = now + DISTRUST * 2_u32.pow(times.min(3));
+        let recent = before.filter(|before| now < before.until + PROBATION);
+        let failures = recent.map_or(0, |before| before.failures + 1);
+        let until = now + DISTRUST_BASE * 2_u32.pow(failures.min(3));
         log::warn!(relay; "a relay left orders unanswered; it isn't used for a while");
-        self.distrusted.insert(relay, Distrust { until, times });
+        self.distrusted.insert(relay, Distrust { until, failures });
         self.batches.remove(&relay);
     }
 
@@ -248,7 +255,7 @@
 
 /// Maps an address to a bucket below [`BUCKETS`]. Spreads addresses evenly and is the same in every
 /// process.
-fn number(address: SocketAddr) -> u32 {
+fn bucket(address: SocketAddr) -> u32 {
     let ip = match address.ip() {
         IpAddr::V4(ip) => u32::from(ip),
         // The last group differs between the hosts of a network.
--- a/tests/manager/cluster.rs
+++ b/tests/manager/cluster.rs
@@ -8,7 +8,7 @@
         types::NodeId,
         workload::{command::Command, ledger::Ledger},
     },
-    manager::cluster::{founders, keep, recall},
+    manager::cluster::{founders, load, save},
 };
 
 fn cluster(id: u64) -> Cluster {
@@ -38,11 +38,11 @@
 #[test]
 fn a_folder_stores_its_cluster() {
     let folder = tempfile::tempdir().unwrap();
-    assert_eq!(recall(folder.path()).unwrap(), None);
-    keep(folder.path(), &cluster(7)).unwrap();
-    assert_eq!(recall(folder.path()).unwrap(), Some(cluster(7)));
+    assert_eq!(load(folder.path()).unwrap(), None);
+    save(folder.path(), &cluster(7)).unwrap();
+    assert_eq!(load(folder.path()).unwrap(), Some(cluster(7)));
     fs::write(folder.path().join("cluster"), "{").unwrap();
-    assert!(recall(folder.path()).is_err());
+    assert!(load(folder.path()).is_err());
 }
 
 #[test]
--- a/tests/manager/membership.rs
+++ b/tests/manager/membership.rs
@@ -6,7 +6,7 @@
     core::types::{NodeId, Now},
     manager::{
         identity::node_id,
-        membership::{Members, Voting},
+        membership::{Members, VoterStatus},
     },
 };
 
@@ -27,13 +27,13 @@
 fn heard(at: Now, centres: &[&str]) -> Members {
     let mut members = Members::default();
     for (host, centre) in (1..).zip(centres) {
-        members.heard(at, node(host), (*centre).into(), false);
+        members.record_contact(at, node(host), (*centre).into(), false);
     }
     members
 }
 
-fn voting<'a>(voters: &'a [NodeId], silent: &'a [NodeId]) -> Voting<'a> {
-    Voting {
+fn voting<'a>(voters: &'a [NodeId], silent: &'a [NodeId]) -> VoterStatus<'a> {
+    VoterStatus {
         leader: node(1),
         voters,
         silent,
@@ -44,12 +44,12 @@
 #[test]
 fn a_silent_voter_is_replaced_by_an_alive_node() {
     let mut members = heard(NOW, &["a", "b", "c", "d"]);
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 4]).to_vec()));
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([3])));
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 4]).to_vec()));
     assert_eq!(
-        members.wanted(NOW, &voting(&nodes([1, 2, 4]), &nodes([]))),
+        members.next_change(NOW, &voting(&nodes([1, 2, 4]), &nodes([]))),
         None
     );
 }
@@ -57,15 +57,15 @@
 #[test]
 fn a_silent_voter_stays_while_no_other_node_is_alive() {
     let mut members = heard(NOW, &["a", "b", "c"]);
-    members.told(NOW, node(4), "d".into());
+    members.record_mention(NOW, node(4), "d".into());
     assert_eq!(
-        members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3]))),
+        members.next_change(NOW, &voting(&nodes([1, 2, 3]), &nodes([3]))),
         None
     );
     let mut members = heard(NOW, &["a", "b", "c", "d"]);
     let later = NOW + LONG;
     assert_eq!(
-        members.wanted(later, &voting(&nodes([1, 2, 3]), &nodes([3]))),
+        members.next_change(later, &voting(&nodes([1, 2, 3]), &nodes([3]))),
         None
     );
 }
@@ -73,15 +73,15 @@
 #[test]
 fn a_voter_that_is_about_to_end_is_replaced_while_it_still_votes() {
     let mut members = heard(NOW, &["a", "b", "c", "d"]);
-    members.heard(NOW, node(2), "b".into(), true);
-    assert!(members.has_spare(NOW, &nodes([1, 2, 3])));
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([])));
+    members.record_contact(NOW, node(2), "b".into(), true);
+    assert!(members.has_candidate(NOW, &nodes([1, 2, 3])));
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3]), &nodes([])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 4]).to_vec()));
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([])));
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([])));
     assert_eq!(wanted, Some(nodes([1, 3, 4]).to_vec()));
-    members.heard(NOW, node(2), "b".into(), false);
+    members.record_contact(NOW, node(2), "b".into(), false);
     assert_eq!(
-        members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([]))),
+        members.next_change(NOW, &voting(&nodes([1, 2, 3]), &nodes([]))),
         None
     );
 }
@@ -89,9 +89,9 @@
 #[test]
 fn a_node_that_is_about_to_end_takes_no_vote() {
     let mut members = heard(NOW, &["a", "b", "c", "d"]);
-    members.heard(NOW, node(4), "d".into(), true);
+    members.record_contact(NOW, node(4), "d".into(), true);
     assert_eq!(
-        members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3]))),
+        members.next_change(NOW, &voting(&nodes([1, 2, 3]), &nodes([3]))),
         None
     );
 }
@@ -99,37 +99,37 @@
 #[test]
 fn a_silent_voter_goes_before_one_that_is_about_to_end() {
     let mut members = heard(NOW, &["a", "b", "c", "d"]);
-    members.heard(NOW, node(2), "b".into(), true);
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([3])));
+    members.record_contact(NOW, node(2), "b".into(), true);
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 4]).to_vec()));
 }
 
 #[test]
 fn a_node_that_failed_to_join_is_the_last_choice_for_a_while() {
     let mut members = heard(NOW, &["a", "b", "c", "d", "e"]);
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 4]).to_vec()));
-    members.came_to_nothing(NOW);
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
+    members.change_failed(NOW);
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 5]).to_vec()));
     // It is still chosen if there is no other.
-    members.heard(NOW, node(5), "e".into(), true);
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
+    members.record_contact(NOW, node(5), "e".into(), true);
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 4]).to_vec()));
 }
 
 #[test]
 fn a_list_that_is_too_long_is_shortened_once_all_voters_are_alive() {
     let mut members = heard(NOW, &["a", "b", "c", "b"]);
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([])));
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([])));
     assert_eq!(
         wanted,
         Some(nodes([1, 2, 3]).to_vec()),
         "one of the two in b goes"
     );
     let mut members = heard(NOW, &["a", "b", "c"]);
-    members.told(NOW, node(4), "b".into());
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([])));
+    members.record_mention(NOW, node(4), "b".into());
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3, 4]), &nodes([])));
     assert_eq!(wanted, None, "one of the voters may be dead");
 }
 
@@ -138,41 +138,47 @@
     let mut members = heard(NOW, &["a", "b", "c", "d", "a"]);
     let later = NOW + Duration::from_millis(1500);
     for host in [1, 2, 5] {
-        members.heard(later, node(host), "a".into(), false);
+        members.record_contact(later, node(host), "a".into(), false);
     }
-    let wanted = members.wanted(later, &voting(&nodes([1, 2, 3]), &nodes([3])));
+    let wanted = members.next_change(later, &voting(&nodes([1, 2, 3]), &nodes([3])));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 5]).to_vec()));
 }
 
 #[test]
 fn voters_are_spread_over_the_data_centres_again() {
     let mut members = heard(NOW, &["a", "b", "c", "b"]);
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 4]), &[]));
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 4]), &[]));
     assert_eq!(wanted, Some(nodes([1, 2, 3, 4]).to_vec()));
-    let wanted = members.wanted(NOW, &voting(&nodes([1, 2, 3, 4]), &[]));
+    let wanted = members.next_change(NOW, &voting(&nodes([1, 2, 3, 4]), &[]));
     assert_eq!(wanted, Some(nodes([1, 2, 3]).to_vec()));
-    assert_eq!(members.wanted(NOW, &voting(&nodes([1, 2, 3]), &[])), None);
+    assert_eq!(
+        members.next_change(NOW, &voting(&nodes([1, 2, 3]), &[])),
+        None
+    );
 }
 
 #[test]
 fn a_leader_that_ends_hands_over_to_a_voter_that_goes_on() {
     let mut members = heard(NOW, &["a", "b", "c"]);
-    members.heard(NOW, node(2), "b".into(), true);
-    let heir = members.heir(NOW, &voting(&nodes([1, 2, 3]), &[]));
-    assert_eq!(heir, Some(node(3)));
-    let heir = members.heir(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
-    assert_eq!(heir, None);
+    members.record_contact(NOW, node(2), "b".into(), true);
+    let successor = members.successor(NOW, &voting(&nodes([1, 2, 3]), &[]));
+    assert_eq!(successor, Some(node(3)));
+    let successor = members.successor(NOW, &voting(&nodes([1, 2, 3]), &nodes([3])));
+    assert_eq!(successor, None);
 }
 
 #[test]
 fn a_node_that_was_only_mentioned_is_not_announced_and_is_forgotten() {
     let mut members = heard(NOW, &["a"]);
-    members.told(NOW, node(2), "b".into());
-    assert_eq!(members.all(NOW), [(node(1), "a".into())]);
+    members.record_mention(NOW, node(2), "b".into());
+    assert_eq!(members.announced(NOW), [(node(1), "a".into())]);
     let later = NOW + Duration::from_secs(60);
-    members.heard(later, node(1), "a".into(), false);
+    members.record_contact(later, node(1), "a".into(), false);
     members.forget(later);
-    assert!(members.told(later, node(2), "b".into()), "it was forgotten");
+    assert!(
+        members.record_mention(later, node(2), "b".into()),
+        "it was forgotten"
+    );
 }
 
 #[test]
@@ -180,11 +186,11 @@
     let mut members = heard(NOW, &["a", "b", "c"]);
     let later = NOW + Duration::from_secs(1);
     let successor = node_id([10, 0, 0, 2].into(), 77);
-    members.heard(later, successor, "b".into(), false);
-    let wanted = members.wanted(later, &voting(&nodes([1, 2, 3]), &[]));
+    members.record_contact(later, successor, "b".into(), false);
+    let wanted = members.next_change(later, &voting(&nodes([1, 2, 3]), &[]));
     let wanted = wanted.unwrap();
     assert!(wanted.contains(&successor), "{wanted:?}");
-    let wanted = members.wanted(later, &voting(&wanted, &[]));
+    let wanted = members.next_change(later, &voting(&wanted, &[]));
     let wanted = wanted.unwrap();
     assert!(!wanted.contains(&node(2)), "{wanted:?}");
     assert_eq!(wanted.len(), 3);
--- a/tests/manager/relays.rs
+++ b/tests/manager/relays.rs
@@ -20,7 +20,7 @@
 
 fn relays() -> Relays {
     let mut relays = Relays::default();
-    relays.set(vec![(EAST, "east".into()), (WEST, "west".into())]);
+    relays.set_nodes(vec![(EAST, "east".into()), (WEST, "west".into())]);
     relays
 }
 
@@ -54,7 +54,7 @@
 /// Assigns an order to the relay that is chosen for it. Returns the relay.
 fn carry(relays: &mut Relays, now: Now, order: Order) -> Option<NodeId> {
     let relay = relays.choose(now, 1.0, &order.what)?;
-    relays.carry(now, relay, EXCHANGE, order);
+    relays.assign(now, relay, EXCHANGE, order);
     Some(relay)
 }
 
@@ -73,7 +73,7 @@
     let late = now + Duration::from_secs(1);
     assert_eq!(relays.expire(late), [1, 2]);
     assert!(
-        !relays.answered(WEST, 1, true),
+        !relays.record_answer(WEST, 1, true),
         "the answer isn't waited for any more"
     );
     let next = order(3, 7, None);
@@ -103,13 +103,13 @@
 fn the_leader_calls_an_agent_that_its_relay_does_not_reach_until_it_answers() {
     let (mut relays, now) = (relays(), Duration::from_secs(9));
     carry(&mut relays, now, order(1, 7, None));
-    assert!(relays.answered(WEST, 1, false));
+    assert!(relays.record_answer(WEST, 1, false));
     let next = order(2, 7, None);
     assert_eq!(relays.choose(now, 1.0, &next.what), None);
     let other = order(3, 8, None);
     assert_eq!(relays.choose(now, 1.0, &other.what), Some(WEST));
-    relays.send_here(&next);
-    relays.answered_here(2, true);
+    relays.record_direct(&next);
+    relays.record_direct_answer(2, true);
     assert_eq!(relays.choose(now, 1.0, &next.what), Some(WEST));
 }
 
@@ -117,9 +117,9 @@
 fn only_the_assigned_relay_answers_an_order_and_only_once() {
     let (mut relays, now) = (relays(), Duration::from_secs(9));
     carry(&mut relays, now, order(1, 7, None));
-    assert!(!relays.answered(EAST, 1, true));
-    assert!(relays.answered(WEST, 1, true));
-    assert!(!relays.answered(WEST, 1, true));
+    assert!(!relays.record_answer(EAST, 1, true));
+    assert!(relays.record_answer(WEST, 1, true));
+    assert!(!relays.record_answer(WEST, 1, true));
     assert!(relays.expire(now + Duration::from_secs(9)).is_empty());
 }
 
@@ -127,8 +127,8 @@
 fn a_new_leader_waits_for_no_earlier_order() {
     let (mut relays, now) = (relays(), Duration::from_secs(9));
     carry(&mut relays, now, order(1, 7, None));
-    relays.begin();
-    assert!(!relays.answered(WEST, 1, true));
+    relays.reset();
+    assert!(!relays.record_answer(WEST, 1, true));
     assert!(relays.take_batches().is_empty());
     assert!(relays.expire(now + Duration::from_secs(9)).is_empty());
 }
--- a/tests/workload/world.rs
+++ b/tests/workload/world.rs
@@ -1098,7 +1098,7 @@
 
     fn send(&mut self, order: Order) {
         self.check_holder(&order);
-        let kind = metrics::order(&order.what);
+        let kind = metrics::order_label(&order.what);
         *self.sent.entry(kind).or_default() += 1;
         let wait = match &order.what {
             What::Renew { wait, .. } => *wait,
