--- a/src/manager/cluster.rs
+++ b/src/manager/cluster.rs
@@ -20,7 +20,7 @@
 use super::{
     control::{ControlTask, Input},
     identity::{self, AccessSnafu, ClusterSnafu, IdentityError},
-    waiting::ReplyTo,
+    proposals::ReplyTo,
 };
 use crate::core::{
     cluster::{Cluster, FolderId, Founder},
--- a/src/manager/control.rs
+++ b/src/manager/control.rs
@@ -13,15 +13,15 @@
 };
 
 use super::{
-    ask::{LeaderRequest, Refused, Reply},
     cluster::SaveState,
     frame::{Frame, RequestId, View},
     load::Load,
     membership::Members,
     metrics::Phase,
     ports::{Config, ControlStatus, Ports},
+    proposals::{PendingProposals, ReplyTo},
     relays::Relays,
-    waiting::{PendingProposals, ReplyTo},
+    request::{LeaderRequest, Refused, Reply},
 };
 use crate::{
     core::{
--- a/src/manager/entry.rs
+++ b/src/manager/entry.rs
@@ -16,10 +16,10 @@
 };
 
 use super::{
-    ask::{LeaderRequest, Refused, Reply},
     frame::{Frame, RequestId, View},
     identity::address,
     metrics::Metrics,
+    request::{LeaderRequest, Refused, Reply},
 };
 use crate::{
     adapters::mesh::Mesh,
--- a/src/manager/frame.rs
+++ b/src/manager/frame.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::ask::{LeaderRequest, Reply};
+use super::request::{LeaderRequest, Reply};
 use crate::core::{
     consensus::{Message, Term},
     types::{DataCentreId, NodeId},
--- a/src/manager/questions.rs
+++ b/src/manager/handlers.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use super::{
-    ask::{Call, Heartbeat, LeaderRequest, Refused, Reply, Unknown, Verb},
     control::{ControlTask, PendingSubmission},
-    waiting::ReplyTo,
+    proposals::ReplyTo,
+    request::{Call, Heartbeat, LeaderRequest, Refused, Reply, Unknown, Verb},
 };
 use crate::{
     core::{
--- a/src/manager/metrics.rs
+++ b/src/manager/metrics.rs
@@ -16,7 +16,7 @@
     registry::Registry,
 };
 
-use super::ask::{Refused, Reply, Unknown};
+use super::request::{Refused, Reply, Unknown};
 use crate::core::workload::scheduler::{Answer, Refusal, What};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/src/manager/mod.rs
+++ b/src/manager/mod.rs
@@ -12,11 +12,11 @@
 //! - [`membership`]: decides which control nodes should vote;
 //! - [`ports`]: the settings and outside connections that a control node is started with.
 
-pub mod ask;
 pub mod cluster;
 pub mod control;
 pub mod entry;
 pub mod frame;
+mod handlers;
 pub mod identity;
 mod load;
 pub mod membership;
@@ -24,6 +24,6 @@
 mod outputs;
 mod peers;
 pub mod ports;
-mod questions;
+mod proposals;
 pub mod relays;
-mod waiting;
+pub mod request;
--- a/src/manager/outputs.rs
+++ b/src/manager/outputs.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use super::{
-    ask::{Refused, Reply},
     control::ControlTask,
     frame::Frame,
-    waiting::ReplyTo,
+    proposals::ReplyTo,
+    request::{Refused, Reply},
 };
 use crate::{
     core::{
--- a/src/manager/peers.rs
+++ b/src/manager/peers.rs
@@ -11,7 +11,7 @@
     identity::address,
     membership::VoterStatus,
     ports::ControlStatus,
-    waiting::ReplyTo,
+    proposals::ReplyTo,
 };
 use crate::core::{
     consensus,
--- a/src/manager/waiting.rs
+++ b/src/manager/proposals.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::oneshot;
 
-use super::{ask::Reply, frame::RequestId};
+use super::{frame::RequestId, request::Reply};
 use crate::core::{
     consensus::{Index, Term},
     types::{Map, NodeId},
