--- a/src/manager/metrics.rs
+++ b/src/manager/metrics.rs
@@ -1,7 +1,7 @@
-//! What control and entry nodes count.
+//! The metrics of control and entry nodes.
 //!
-//! Every reason has its counter from the start, at zero, so that a rate can be taken over the first
-//! one. Labels come from the enums that decide, never from text of their own.
+//! The reply counters of [`OUTCOMES`] exist from the start, at zero, so that a rate covers the
+//! first event, too. Label values come from the enums that decide, never from free text.
 
 use std::{fmt, sync::atomic::AtomicU64, time::Duration};
 
@@ -16,48 +16,48 @@
     registry::Registry,
 };
 
-use super::ask::{Refused, Reply, Unknown};
+use super::request::{Refused, Reply, Unknown};
 use crate::core::workload::scheduler::{Answer, Refusal, What};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Outcome {
+struct OutcomeLabel {
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Ordered {
+struct OrderLabels {
     order: &'static str,
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Kind {
+struct OrderLabel {
     order: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
-struct Share {
+struct PhaseLabel {
     part: &'static str,
 }
 
-/// The parts of a turn of the control task.
+/// The phases of a turn of the control task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// Inputs are taken in, and what is committed is applied.
+pub enum Phase {
+    /// Handles inputs and applies committed entries.
     Take,
-    /// The leader decides and gives its orders.
+    /// The leader decides and sends its orders.
     Plan,
-    /// Snapshots, voters, views and writes.
+    /// Takes snapshots, checks the voters, broadcasts the view and hands writes to the disk.
     Rest,
 }
 
-impl Part {
-    /// The word for it.
-    fn word(self) -> &'static str {
+impl Phase {
+    /// The phase's label value.
+    fn label(self) -> &'static str {
         match self {
             Self::Take => "take",
             Self::Plan => "plan",
@@ -66,49 +66,51 @@
     }
 }
 
-/// The counters, gauges and histograms of one process.
+/// The counters, gauges and histograms of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    replies: Family<Outcome, Counter>,
+    replies: Family<OutcomeLabel, Counter>,
     reply_time: Histogram,
     retries: Counter,
-    orders: Family<Ordered, Counter>,
-    order_time: Family<Kind, Histogram>,
+    orders: Family<OrderLabels, Counter>,
+    order_time: Family<OrderLabel, Histogram>,
     /// 1 while this node leads.
     pub leading: Gauge,
-    /// The term of the log.
+    /// The current term of the log.
     pub term: Gauge,
-    /// The last index applied here.
+    /// The last log index that this node applied.
     pub applied: Gauge,
     /// 1 while this node votes.
     pub votes: Gauge,
-    /// Voters, as this node's log has them.
+    /// Number of voters according to this node's log.
     pub voters: Gauge,
-    /// Those of them that this node hears.
+    /// Number of voters that this node hears, itself included.
     pub voters_heard: Gauge,
-    /// Agents that are known.
+    /// Number of known agents.
     pub agents: Gauge,
-    /// Tasks that wait to be started; the leader's alone.
+    /// Number of tasks that wait to be started. Only the leader sets it.
     pub waiting: Gauge,
-    /// Attempts that are placed; the leader's alone.
+    /// Number of placed attempts. Only the leader sets it.
     pub placed: Gauge,
-    /// Orders that wait for their answers; the leader's alone.
+    /// Number of orders that wait for an answer. Only the leader sets it.
     pub under_way: Gauge,
-    /// Tasks that are suspected to end the hosts that run them; the leader's alone.
+    /// Number of tasks that are suspected of crashing the hosts that run them. Only the leader sets
+    /// it.
     pub suspected: Gauge,
-    /// Jobs that have failed since a task of theirs ends the hosts that run it; the leader's alone.
-    pub convicted: Counter,
+    /// Jobs that failed because one of their tasks crashes the hosts that run it. Only the leader
+    /// counts them.
+    pub poison_jobs: Counter,
     /// 1 once this node knows its cluster.
     pub joined: Gauge,
-    /// Links refused or dropped, as the peer is of another cluster.
-    pub refused: Counter,
-    /// The part of the last second that the thread of the tasks was busy.
-    pub busy: Gauge<f64, AtomicU64>,
+    /// Links refused or dropped because the peer belongs to another cluster.
+    pub links_refused: Counter,
+    /// Share of the last second in which the thread that runs the tasks was busy.
+    pub busy_ratio: Gauge<f64, AtomicU64>,
     input_wait: Histogram,
     batch: Histogram,
-    turn_time: Family<Share, Histogram>,
-    beat_age: Histogram,
+    turn_time: Family<PhaseLabel, Histogram>,
+    heartbeat_age: Histogram,
     start_delay: Histogram,
 }
 
@@ -117,10 +119,10 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("egretpin"),
             replies: Family::default(),
-            reply_time: times(),
+            reply_time: duration_histogram(),
             retries: Counter::default(),
             orders: Family::default(),
-            order_time: Family::new_with_constructor(times),
+            order_time: Family::new_with_constructor(duration_histogram),
             leading: Gauge::default(),
             term: Gauge::default(),
             applied: Gauge::default(),
@@ -132,30 +134,31 @@
             placed: Gauge::default(),
             under_way: Gauge::default(),
             suspected: Gauge::default(),
-            convicted: Counter::default(),
+            poison_jobs: Counter::default(),
             joined: Gauge::default(),
-            refused: Counter::default(),
-            busy: Gauge::default(),
-            input_wait: times(),
+            links_refused: Counter::default(),
+            busy_ratio: Gauge::default(),
+            input_wait: duration_histogram(),
             batch: Histogram::new(exponential_buckets(1.0, 2.0, 9)),
-            turn_time: Family::new_with_constructor(times),
-            beat_age: times(),
-            start_delay: times(),
+            turn_time: Family::new_with_constructor(duration_histogram),
+            heartbeat_age: duration_histogram(),
+            start_delay: duration_histogram(),
         };
         metrics.register();
         metrics
     }
 }
 
-/// From a millisecond to eight seconds, which is longer than anything may take.
-fn times() -> Histogram {
+/// A histogram of durations from a millisecond to eight seconds. Nothing that is measured may take
+/// longer.
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
 
 impl Metrics {
     fn register(&mut self) {
         for outcome in OUTCOMES {
-            drop(self.replies.get_or_create(&Outcome { outcome }));
+            drop(self.replies.get_or_create(&OutcomeLabel { outcome }));
         }
         let registry = &mut self.registry;
         registry.register(
@@ -223,17 +226,17 @@
         registry.register(
             "jobs_convicted",
             "Jobs that have failed since a task of theirs ends the hosts that run it",
-            self.convicted.clone(),
+            self.poison_jobs.clone(),
         );
         registry.register(
             "links_refused",
             "Links refused or dropped, as the peer is of another cluster",
-            self.refused.clone(),
+            self.links_refused.clone(),
         );
         registry.register(
             "busy_ratio",
             "The part of the last second that the thread of the tasks was busy",
-            self.busy.clone(),
+            self.busy_ratio.clone(),
         );
         registry.register(
             "input_wait_seconds",
@@ -253,7 +256,7 @@
         registry.register(
             "heard_age_seconds",
             "How long ago an agent was heard when something was placed there",
-            self.beat_age.clone(),
+            self.heartbeat_age.clone(),
         );
         registry.register(
             "start_delay_seconds",
@@ -262,55 +265,55 @@
         );
     }
 
-    /// Counts what was replied, and how long it took.
-    pub fn replied(&self, reply: &Reply, took: Duration) {
-        let outcome = outcome(reply);
-        self.replies.get_or_create(&Outcome { outcome }).inc();
+    /// Counts a reply and records how long it took.
+    pub fn record_reply(&self, reply: &Reply, took: Duration) {
+        let outcome = reply_label(reply);
+        self.replies.get_or_create(&OutcomeLabel { outcome }).inc();
         self.reply_time.observe(took.as_secs_f64());
     }
 
-    /// Counts a question that was sent again.
-    pub fn retried(&self) {
+    /// Counts a request that was sent again.
+    pub fn record_retry(&self) {
         self.retries.inc();
     }
 
-    /// Counts what came of an order, and how long it took.
-    pub fn ordered(&self, what: &What, answer: &Answer, took: Duration) {
-        let (order, outcome) = (order(what), answered(answer));
-        let label = Ordered { order, outcome };
+    /// Counts the answer to an order and records how long it took.
+    pub fn record_answer(&self, what: &What, answer: &Answer, took: Duration) {
+        let (order, outcome) = (order_label(what), answer_label(answer));
+        let label = OrderLabels { order, outcome };
         self.orders.get_or_create(&label).inc();
-        let time = self.order_time.get_or_create(&Kind { order });
+        let time = self.order_time.get_or_create(&OrderLabel { order });
         time.observe(took.as_secs_f64());
     }
 
-    /// An input waited so long for its turn, the longest of them.
-    pub fn waited(&self, wait: Duration) {
+    /// Records the longest time that an input of a turn waited.
+    pub fn record_wait(&self, wait: Duration) {
         self.input_wait.observe(wait.as_secs_f64());
     }
 
-    /// A turn took so many inputs.
-    pub fn batched(&self, inputs: usize) {
+    /// Records the number of inputs of a turn.
+    pub fn record_batch(&self, inputs: usize) {
         self.batch.observe(inputs as f64);
     }
 
-    /// A part of a turn took so long.
-    pub fn turned(&self, part: Part, took: Duration) {
-        let part = part.word();
-        let time = self.turn_time.get_or_create(&Share { part });
+    /// Records the duration of a phase of a turn.
+    pub fn record_phase(&self, part: Phase, took: Duration) {
+        let part = part.label();
+        let time = self.turn_time.get_or_create(&PhaseLabel { part });
         time.observe(took.as_secs_f64());
     }
 
-    /// Something was placed at an agent that had been heard so long ago.
-    pub fn placed_after(&self, age: Duration) {
-        self.beat_age.observe(age.as_secs_f64());
+    /// Records the age of an agent's last heartbeat when a task was placed there.
+    pub fn record_heartbeat_age(&self, age: Duration) {
+        self.heartbeat_age.observe(age.as_secs_f64());
     }
 
-    /// A start was sent so long after it was decided.
-    pub fn start_sent_after(&self, delay: Duration) {
+    /// Records the time from the decision to start an attempt until its order was sent.
+    pub fn record_start_delay(&self, delay: Duration) {
         self.start_delay.observe(delay.as_secs_f64());
     }
 
-    /// All of them as text.
+    /// Encodes all metrics as text.
     ///
     /// # Errors
     ///
@@ -322,7 +325,7 @@
     }
 }
 
-/// All outcomes that a reply can have.
+/// Reply outcomes whose counters exist from the start.
 const OUTCOMES: [&str; 13] = [
     "done",
     "state",
@@ -339,8 +342,8 @@
     "overloaded",
 ];
 
-/// The word for a reply in metrics and logs.
-pub fn outcome(reply: &Reply) -> &'static str {
+/// The label of a reply in metrics and logs.
+pub fn reply_label(reply: &Reply) -> &'static str {
     match reply {
         Reply::Done => "done",
         Reply::State(_) => "state",
@@ -354,12 +357,12 @@
         Reply::Invalid(_) => "invalid",
         Reply::Unclear => "unclear",
         Reply::Refused(Refused::NotLeader(_)) => "not_leader",
-        Reply::Refused(why) => why.word(),
+        Reply::Refused(why) => why.label(),
     }
 }
 
-/// The word for an order.
-pub fn order(what: &What) -> &'static str {
+/// The label of an order in metrics and logs.
+pub fn order_label(what: &What) -> &'static str {
     match what {
         What::Start(_) => "start",
         What::Stop { .. } => "stop",
@@ -372,8 +375,8 @@
     }
 }
 
-/// The word for an answer.
-pub fn answered(answer: &Answer) -> &'static str {
+/// The label of an answer in metrics and logs.
+pub fn answer_label(answer: &Answer) -> &'static str {
     match answer {
         Answer::Done { .. } | Answer::Report(_) | Answer::Hosts(_) | Answer::Eligible(_) => "done",
         Answer::Reborn => "reborn",
--- a/src/manager/peers.rs
+++ b/src/manager/peers.rs
@@ -1,17 +1,17 @@
-//! What a control node does about the others: dials them, has the right ones vote, and tells all
-//! what it knows.
+//! How a control node treats its peers: it dials them, proposes changes of the voters and
+//! broadcasts its view of the cluster.
 
 use std::{net::SocketAddr, time::Duration};
 
 use bytes::Bytes;
 
 use super::{
-    control::{TEND, Task, VIEW},
+    control::{CHECK_INTERVAL, ControlTask, VIEW_INTERVALS},
     frame::{Frame, View},
     identity::address,
-    membership::Voting,
-    ports::Seat,
-    waiting::Asker,
+    membership::VoterStatus,
+    ports::ControlStatus,
+    proposals::ReplyTo,
 };
 use crate::core::{
     consensus,
@@ -19,116 +19,119 @@
     workload::scheduler::Scheduler,
 };
 
-/// A voter that has answered nothing for so long isn't handed leadership: three heartbeats.
-const HEIR: Duration = Duration::from_millis(300);
+/// Leadership isn't handed to a voter that has been silent for this long. Three heartbeat
+/// intervals.
+const SUCCESSOR_SILENCE: Duration = Duration::from_millis(300);
 
-impl Task {
-    /// Dials the control nodes that are known, and has the right ones vote.
-    pub(super) fn tend(&mut self) {
+impl ControlTask {
+    /// Dials the known control nodes and, as the leader, proposes changes of the voters.
+    pub(super) fn maintain_peers(&mut self) {
         let now = self.now();
-        if self.tend_due.is_some_and(|due| now < due) {
+        if self.check_due.is_some_and(|due| now < due) {
             return;
         }
-        self.tend_due = Some(now + TEND);
+        self.check_due = Some(now + CHECK_INTERVAL);
         let me = self.node.id();
         let centre = self.data_centre.clone();
-        self.members.heard(now, me, centre, self.leaving);
+        self.members.record_contact(now, me, centre, self.leaving);
         for voter in self.node.voters().to_vec() {
             self.dial(voter);
         }
-        self.watch_voters(now);
+        self.log_voters(now);
         self.members.forget(now);
-        self.find_relays(now);
-        if self.kept.is_due(now) {
-            self.join();
+        self.update_relays(now);
+        if self.save_state.is_due(now) {
+            self.adopt_cluster();
         }
         if self.leaving && self.node.is_leader() {
             return self.hand_over(now);
         }
-        if self.scheduler.is_none() || !self.leads() || self.node.is_changing_voters() {
+        if self.scheduler.is_none() || !self.holds_lease() || self.node.is_changing_voters() {
             return;
         }
-        self.found(now);
-        let voting = Voting {
+        self.propose_cluster(now);
+        let status = VoterStatus {
             leader: me,
             voters: self.node.voters(),
-            silent: &self.node.silent_voters(self.silence),
-            target: self.voters,
+            silent: &self.node.silent_voters(self.silence_limit),
+            target: self.target_voters,
         };
-        let wanted = self.members.wanted(now, &voting);
+        let wanted = self.members.next_change(now, &status);
         if let Some(voters) = wanted {
-            log::info!(voters:? = voters, now:? = self.node.voters(); "the voters should change");
-            let proposal = self.waiting.propose(Asker::Membership, None);
+            log::info!(voters:? = voters, now:? = self.node.voters(); "proposing a change of the voters");
+            let proposal = self.proposals.propose(ReplyTo::Membership, None);
             self.consensus(consensus::Input::Reconfigure { proposal, voters });
         }
     }
 
-    /// Tells the relays which nodes carry orders.
-    fn find_relays(&mut self, now: Now) {
-        let mut others = self.members.others(now, self.node.id());
-        others.retain(|(node, _)| self.carriers.contains(node));
-        self.relays.set(others);
+    /// Updates the nodes that can execute orders as relays.
+    fn update_relays(&mut self, now: Now) {
+        let mut others = self.members.fresh_peers(now, self.node.id());
+        others.retain(|(node, _)| self.relay_capable.contains(node));
+        self.relays.set_nodes(others);
     }
 
-    /// Hands leadership over before this process ends; again until another node has it.
+    /// Hands leadership over before this process ends. Called again until another node has it.
     fn hand_over(&mut self, now: Now) {
-        let voting = Voting {
+        let status = VoterStatus {
             leader: self.node.id(),
             voters: self.node.voters(),
-            silent: &self.node.silent_voters(HEIR),
-            target: self.voters,
+            silent: &self.node.silent_voters(SUCCESSOR_SILENCE),
+            target: self.target_voters,
         };
-        let to = self.members.heir(now, &voting);
+        let to = self.members.successor(now, &status);
         if to.is_some() && !self.node.is_handing_over() {
             self.consensus(consensus::Input::HandOver { to });
         }
     }
 
-    /// Logs who votes, and whom of them this node hears, when either changes. Without a leader
-    /// this alone tells too few living voters from living ones that can't agree.
-    fn watch_voters(&mut self, now: Now) {
+    /// Logs the voters and those of them that this node hears when either changes. Without a
+    /// leader, only this line distinguishes too few alive voters from alive voters that can't
+    /// agree.
+    fn log_voters(&mut self, now: Now) {
         let voters = self.node.voters().to_vec();
-        let heard = self.members.living(now, &voters);
-        if (&voters, &heard) == (&self.voting.0, &self.voting.1) {
+        let heard = self.members.alive(now, &voters);
+        if (&voters, &heard) == (&self.logged_voters.0, &self.logged_voters.1) {
             return;
         }
         let (term, index) = (self.node.term(), self.node.last().index);
-        log::info!(term, index, voters:?, heard:?; "the voters as this node sees them");
-        self.voting = (voters, heard);
+        log::info!(term, index, voters:?, heard:?; "the voters or the reachable ones among them changed");
+        self.logged_voters = (voters, heard);
     }
 
-    /// Shows who leads and votes, when that changes.
-    fn show_seat(&mut self, now: Now) {
-        let seat = Seat {
+    /// Publishes this node's status in the cluster when it changes.
+    fn publish_status(&mut self, now: Now) {
+        let status = ControlStatus {
             leader: self.node.leader(),
             votes: self.node.is_committed_voter(),
             leaving: self.leaving,
-            spare: self.leaving && self.has_substitute(now),
+            replaceable: self.leaving && self.has_substitute(now),
         };
-        self.ports.seat.send_if_modified(|shown| {
-            let changed = *shown != seat;
-            *shown = seat;
+        self.ports.status.send_if_modified(|shown| {
+            let changed = *shown != status;
+            *shown = status;
             changed
         });
     }
 
-    /// Whether another node could vote in this one's place, or does already and the list wants
-    /// shortening: until then a majority of the longer list counts this node in.
+    /// Whether another node can take this node's vote, or the voter list is longer than it should
+    /// be. In that case another node votes already, but a majority of the longer list still counts
+    /// this node in.
     fn has_substitute(&self, now: Now) -> bool {
         let voters = self.node.voters();
-        voters.len() > self.voters || self.members.has_spare(now, voters)
+        voters.len() > self.target_voters || self.members.has_candidate(now, voters)
     }
 
-    /// Sets the gauges.
-    fn measure(&self) {
+    /// Updates the gauges.
+    fn update_gauges(&self) {
         let metrics = &self.ports.metrics;
         let scheduler = self.scheduler.as_ref();
         metrics.leading.set(i64::from(scheduler.is_some()));
         metrics.term.set(count(self.node.term()));
         metrics.applied.set(count(self.ledger.applied()));
         metrics.votes.set(i64::from(self.node.is_voter()));
-        metrics.voters.set(size(self.voting.0.len()));
-        metrics.voters_heard.set(size(self.voting.1.len()));
+        metrics.voters.set(size(self.logged_voters.0.len()));
+        metrics.voters_heard.set(size(self.logged_voters.1.len()));
         let known = self.ports.mesh.claim().cluster.is_some();
         metrics.joined.set(i64::from(known));
         metrics.agents.set(size(self.ledger.agents().count()));
@@ -156,43 +159,43 @@
         address(node, self.mesh_port)
     }
 
-    pub(super) fn viewed(&mut self, from: NodeId, view: View) {
+    pub(super) fn handle_view(&mut self, from: NodeId, view: View) {
         let now = self.now();
         let mut new = self
             .members
-            .heard(now, from, view.data_centre, view.leaving);
-        if view.carries {
-            self.carriers.insert(from);
+            .record_contact(now, from, view.data_centre, view.leaving);
+        if view.relays {
+            self.relay_capable.insert(from);
         }
         for (node, centre) in view.controls {
-            new |= self.members.told(now, node, centre);
+            new |= self.members.record_mention(now, node, centre);
             self.dial(node);
         }
         if new {
-            // Whoever is new must be reached by all before the next loss.
+            // All nodes must be able to reach a new node before the next node is lost.
             self.view_due = None;
         }
     }
 
-    /// Tells every linked node what this one knows, from time to time and when it changes.
-    pub(super) fn tell(&mut self) {
+    /// Broadcasts this node's view to every linked node, at intervals and when it changes.
+    pub(super) fn broadcast_view(&mut self) {
         let now = self.now();
         let leader = self.node.leader();
         let limits = self.catalog.as_ref().map(|catalog| catalog.limits);
-        let known = self.view.as_ref().is_some_and(|v| v.leader == leader);
-        let same = known && self.view.as_ref().is_some_and(|v| v.limits == limits);
+        let known = self.last_view.as_ref().is_some_and(|v| v.leader == leader);
+        let same = known && self.last_view.as_ref().is_some_and(|v| v.limits == limits);
         let pause = if self.scheduler.is_some() {
-            VIEW.0
+            VIEW_INTERVALS.0
         } else {
-            VIEW.1
+            VIEW_INTERVALS.1
         };
-        self.show_seat(now);
+        self.publish_status(now);
         if same && self.view_due.is_some_and(|due| now < due) {
             return;
         }
         self.view_due = Some(now + pause);
-        self.measure();
-        let controls = self.members.all(now);
+        self.update_gauges();
+        let controls = self.members.announced(now);
         let view = View {
             data_centre: self.data_centre.clone(),
             term: self.node.term(),
@@ -200,10 +203,10 @@
             leaving: self.leaving,
             controls: controls.clone(),
             limits,
-            carries: true,
+            relays: true,
         };
         if self
-            .view
+            .last_view
             .as_ref()
             .is_none_or(|v| v.controls != view.controls)
         {
@@ -212,13 +215,13 @@
             self.consensus(consensus::Input::Nodes(places));
         }
         if !known {
-            log::info!(term = view.term, leader; "who leads has changed");
+            log::info!(term = view.term, leader; "the leader changed");
         }
         let frame: Bytes = Frame::View(view.clone()).encode();
         for peer in self.ports.mesh.peers() {
             self.ports.mesh.send(peer, frame.clone());
         }
-        self.view = Some(view);
+        self.last_view = Some(view);
     }
 }
 
--- a/src/manager/relays.rs
+++ b/src/manager/relays.rs
@@ -1,24 +1,27 @@
-//! Control nodes that carry the leader's orders to agents.
+//! Control nodes that execute the leader's orders to agents.
 //!
-//! One node leads, and with a thousand agents nearly all of its processor went into the exchanges with
-//! them while its peers idled. So the leader only decides: an order to an agent goes to a *relay*,
-//! another control node, which has the exchange and sends back what came of it. What is decided in one
-//! turn goes to each relay in one message, and so does what was answered in one turn of the relay. The
-//! relay of an agent stands in the agent's data centre where there is one, so that the exchange crosses
-//! no border.
+//! One node leads. With a thousand agents, nearly all of its processor time went into the exchanges
+//! with them while the other control nodes were idle. So the leader only decides. It passes an
+//! order to an agent on to a *relay*, another control node, which does the exchange and returns the
+//! answer. All orders that one turn of the leader decides for a relay travel in one message, and so
+//! do all answers of one turn of the relay. If possible, the relay of an agent is in the agent's
+//! data centre, so that the exchange doesn't cross between data centres.
 //!
-//! # What keeps it safe
+//! # Safety
 //!
-//! A relay decides nothing and repeats nothing, so that an order through it is an order that may be
-//! late, or be lost, or whose answer may be, as any order to an agent may. The scheduler reckons with
-//! all of these. An order that a relay carries out late, because it stood still meanwhile, meets what
-//! any late order meets at its agent: the number of a later term, the number of a later attempt, or the
-//! end of the lease that it carries. A relay that knows of a later term carries out nothing for an
-//! earlier leader.
+//! A relay decides nothing and retries nothing. An order through a relay can be late or lost, and
+//! so can its answer, but the same is true of any order to an agent, and the scheduler takes all of
+//! these cases into account. A relay that was suspended may execute an order late. The agent
+//! handles it as any late order: it compares the term and the attempt number with later ones that
+//! it has seen, and checks the end of the lease that the order carries. A relay that knows of a
+//! later term executes nothing for an earlier leader.
 //!
-//! What a relay hasn't answered in time got no answer, and it isn't trusted for a while. The leader
-//! then carries out the orders of its share by itself, and so it does for an agent whose last order
-//! through a relay got no answer: the way to it may be open from here.
+//! # Failures
+//!
+//! An order that a relay hasn't answered in time counts as unanswered, and the relay isn't trusted
+//! for a while. Other relays or the leader itself execute its share meanwhile. The leader also
+//! executes the orders to an agent whose last order through a relay got no answer, since it may
+//! reach the agent where the relay can't.
 //!
 //! ```
 //! use std::time::Duration;
@@ -33,7 +36,7 @@
 //!
 //! let mut relays = Relays::default();
 //! let east = (1, "east".into());
-//! relays.set(vec![east, (2, "west".into())]);
+//! relays.set_nodes(vec![east, (2, "west".into())]);
 //! let now = Duration::from_secs(1);
 //! let what = What::Stop {
 //!     to: Target {
@@ -47,7 +50,7 @@
 //! assert_eq!(relays.choose(now, 1.0, &what), Some(2));
 //! relays.distrust(now, 2);
 //! assert_eq!(relays.choose(now, 1.0, &what), Some(1));
-//! // While the leader has time it does all by itself.
+//! // While the leader has time to spare, it executes all orders itself.
 //! assert_eq!(relays.choose(now, 0.0, &what), None);
 //! ```
 
@@ -62,59 +65,59 @@
     workload::scheduler::{Order, OrderId, What},
 };
 
-/// What is added to the time that an exchange with an agent may take, for the two ways through the
-/// mesh and a turn at each end of them: a full relay's turns take up to 20 ms.
-const WAYS: Duration = Duration::from_millis(300);
-/// How long a relay isn't trusted the first time that it leaves an order unanswered: longer than a
-/// link that went silent takes to be dialled anew. Doubles each time up to eight times that.
-const DISTRUST: Duration = Duration::from_secs(2);
-/// How many numbers addresses are spread over.
-const NUMBERS: u32 = 1 << 16;
-/// A relay that answered for so long after it was trusted again starts anew.
-const PROVEN: Duration = Duration::from_secs(20);
+/// Added to the time limit of an exchange with an agent, for both ways through the mesh and a turn
+/// at each end. The turns of a fully loaded relay take up to 20 ms.
+const MESH_ALLOWANCE: Duration = Duration::from_millis(300);
+/// How long a relay isn't trusted after it first leaves an order unanswered. Longer than it takes
+/// to redial a silent link. Doubles with each repetition up to eight times this value.
+const DISTRUST_BASE: Duration = Duration::from_secs(2);
+/// Number of buckets that agents' addresses are spread over.
+const BUCKETS: u32 = 1 << 16;
+/// A relay that answers for this long after it is trusted again starts with no failures.
+const PROBATION: Duration = Duration::from_secs(20);
 
 /// A relay that left orders unanswered.
 #[derive(Clone, Copy, Debug)]
 struct Distrust {
     until: Now,
-    /// How often in a row.
-    times: u32,
+    /// Consecutive failures before this one.
+    failures: u32,
 }
 
-/// An order that is under way through a relay.
+/// An order that a relay is executing.
 #[derive(Clone, Copy, Debug)]
-struct Carried {
+struct RelayedOrder {
     relay: NodeId,
     /// The agent's address.
-    to: SocketAddr,
+    address: SocketAddr,
     due: Now,
 }
 
-/// The relays of a leader, and what they carry.
+/// The relays of a leader and their orders.
 #[derive(Clone, Debug, Default)]
 pub struct Relays {
-    /// The nodes that carry, in order.
+    /// The nodes that execute orders as relays, sorted.
     nodes: Vec<(NodeId, DataCentreId)>,
     distrusted: Map<NodeId, Distrust>,
-    carried: Map<OrderId, Carried>,
-    agenda: BTreeSet<(Now, OrderId)>,
-    /// What each relay is to carry next.
+    in_flight: Map<OrderId, RelayedOrder>,
+    deadlines: BTreeSet<(Now, OrderId)>,
+    /// The orders to send to each relay next.
     batches: Map<NodeId, Vec<Order>>,
-    /// Agents whose last order through a relay got no answer.
+    /// Addresses of agents whose last order through a relay got no answer.
     unreached: Set<SocketAddr>,
-    /// Orders to those that went out from here.
-    here: Map<OrderId, SocketAddr>,
+    /// Orders to such agents that the leader executes itself.
+    direct: Map<OrderId, SocketAddr>,
 }
 
 impl Relays {
-    /// These nodes carry from now on.
-    pub fn set(&mut self, mut nodes: Vec<(NodeId, DataCentreId)>) {
+    /// Replaces the nodes that execute orders as relays.
+    pub fn set_nodes(&mut self, mut nodes: Vec<(NodeId, DataCentreId)>) {
         nodes.sort_unstable();
         self.nodes = nodes;
     }
 
-    /// This node leads anew; nothing that was carried before is waited for.
-    pub fn begin(&mut self) {
+    /// Resets the state when this node becomes leader again. Earlier orders aren't waited for.
+    pub fn reset(&mut self) {
         let nodes = std::mem::take(&mut self.nodes);
         *self = Self {
             nodes,
@@ -122,12 +125,13 @@
         };
     }
 
-    /// The relay for an order, if it is to an agent whose orders are among the `share` that others carry,
-    /// and one is trusted.
+    /// Returns the relay for an order. Returns `None` if the leader should execute it: the order
+    /// isn't to an agent, the agent isn't in the `share` of agents that relays serve, or no relay
+    /// is trusted or reaches the agent.
     pub fn choose(&self, now: Now, share: f64, what: &What) -> Option<NodeId> {
         let to = what.target()?;
-        let number = number(to.address);
-        if f64::from(number) >= share * f64::from(NUMBERS) || self.unreached.contains(&to.address) {
+        let bucket = bucket(to.address);
+        if f64::from(bucket) >= share * f64::from(BUCKETS) || self.unreached.contains(&to.address) {
             return None;
         }
         let trusted = || {
@@ -135,74 +139,82 @@
             nodes.filter(|(node, _)| self.is_trusted(now, *node))
         };
         let near = || trusted().filter(|(_, centre)| *centre == to.data_centre);
-        let place = |count: usize| usize::try_from(number).unwrap_or_default() % count.max(1);
+        let place = |count: usize| usize::try_from(bucket).unwrap_or_default() % count.max(1);
         let nearest = near().nth(place(near().count()));
         let any = || trusted().nth(place(trusted().count()));
         nearest.or_else(any).map(|(node, _)| *node)
     }
 
-    /// Has a relay carry an order to an agent, whose exchange takes so long at most.
-    pub fn carry(&mut self, now: Now, relay: NodeId, exchange: Duration, order: Order) {
-        let Some(to) = order.what.target().map(|to| to.address) else {
+    /// Assigns an order to a relay. `exchange` is the time limit of the relay's exchange with the
+    /// agent.
+    pub fn assign(&mut self, now: Now, relay: NodeId, exchange: Duration, order: Order) {
+        let Some(address) = order.what.target().map(|to| to.address) else {
             return;
         };
-        let due = now + order.what.wait() + exchange + WAYS;
-        self.agenda.insert((due, order.id));
-        self.carried.insert(order.id, Carried { relay, to, due });
+        let due = now + order.what.wait() + exchange + MESH_ALLOWANCE;
+        self.deadlines.insert((due, order.id));
+        self.in_flight.insert(
+            order.id,
+            RelayedOrder {
+                relay,
+                address,
+                due,
+            },
+        );
         self.batches.entry(relay).or_default().push(order);
     }
 
-    /// What is to be sent to each relay.
+    /// Takes the orders to send to each relay.
     pub fn take_batches(&mut self) -> Vec<(NodeId, Vec<Order>)> {
         let mut batches: Vec<_> = self.batches.drain().collect();
         batches.sort_unstable_by_key(|(relay, _)| *relay);
         batches
     }
 
-    /// A relay answered an order; whether that is still waited for. `reached` says whether the agent
-    /// answered the relay.
-    pub fn answered(&mut self, relay: NodeId, order: OrderId, reached: bool) -> bool {
-        let Some(carried) = self.carried.get(&order).copied() else {
+    /// Records a relay's answer to an order. Returns whether the answer is still waited for.
+    /// `reached` says whether the agent answered the relay.
+    pub fn record_answer(&mut self, relay: NodeId, order: OrderId, reached: bool) -> bool {
+        let Some(carried) = self.in_flight.get(&order).copied() else {
             return false;
         };
         if carried.relay != relay {
             return false;
         }
-        self.carried.remove(&order);
-        self.agenda.remove(&(carried.due, order));
+        self.in_flight.remove(&order);
+        self.deadlines.remove(&(carried.due, order));
         if !reached {
-            self.unreached.insert(carried.to);
+            self.unreached.insert(carried.address);
         }
         true
     }
 
-    /// An order to an agent that its relay doesn't reach goes out from here.
-    pub fn send_here(&mut self, order: &Order) {
+    /// Records that the leader executes an order to an agent that its relay doesn't reach.
+    pub fn record_direct(&mut self, order: &Order) {
         let to = order.what.target().map(|to| to.address);
         if let Some(to) = to.filter(|to| self.unreached.contains(to)) {
-            self.here.insert(order.id, to);
+            self.direct.insert(order.id, to);
         }
     }
 
-    /// An order that went out from here was answered, or not; if so, the agent's next one may go through
-    /// its relay again.
-    pub fn answered_here(&mut self, order: OrderId, reached: bool) {
-        let to = self.here.remove(&order);
+    /// Records the outcome of an order that the leader executed itself. If the agent answered, its
+    /// next order may go through its relay again.
+    pub fn record_direct_answer(&mut self, order: OrderId, reached: bool) {
+        let to = self.direct.remove(&order);
         if let Some(to) = to.filter(|_| reached) {
             self.unreached.remove(&to);
         }
     }
 
-    /// The orders that their relays have left unanswered for too long. Whoever left one unanswered is
-    /// not trusted, and all that it carries got no answer.
+    /// Returns the orders that their relays left unanswered for too long. Such a relay isn't
+    /// trusted for a while, and all other orders that it has count as unanswered as well.
     pub fn expire(&mut self, now: Now) -> Vec<OrderId> {
         let mut late = Set::default();
-        while let Some((due, order)) = self.agenda.first().copied() {
+        while let Some((due, order)) = self.deadlines.first().copied() {
             if now < due {
                 break;
             }
-            self.agenda.pop_first();
-            if let Some(carried) = self.carried.get(&order) {
+            self.deadlines.pop_first();
+            if let Some(carried) = self.in_flight.get(&order) {
                 late.insert(carried.relay);
             }
         }
@@ -212,26 +224,26 @@
         for relay in &late {
             self.distrust(now, *relay);
         }
-        let lost = self.carried.iter();
+        let lost = self.in_flight.iter();
         let lost = lost.filter(|(_, carried)| late.contains(&carried.relay));
         let mut lost: Vec<_> = lost.map(|(order, _)| *order).collect();
         lost.sort_unstable();
         for order in &lost {
-            if let Some(carried) = self.carried.remove(order) {
-                self.agenda.remove(&(carried.due, *order));
+            if let Some(carried) = self.in_flight.remove(order) {
+                self.deadlines.remove(&(carried.due, *order));
             }
         }
         lost
     }
 
-    /// Doesn't trust a relay for a while.
+    /// Stops using a relay for a while.
     pub fn distrust(&mut self, now: Now, relay: NodeId) {
         let before = self.distrusted.get(&relay);
-        let recent = before.filter(|before| now < before.until + PROVEN);
-        let times = recent.map_or(0, |before| before.times + 1);
-        let until = now + DISTRUST * 2_u32.pow(times.min(3));
-        log::warn!(relay; "a control node left orders unanswered; others carry its share");
-        self.distrusted.insert(relay, Distrust { until, times });
+        let recent = before.filter(|before| now < before.until + PROBATION);
+        let failures = recent.map_or(0, |before| before.failures + 1);
+        let until = now + DISTRUST_BASE * 2_u32.pow(failures.min(3));
+        log::warn!(relay; "a relay left orders unanswered; it isn't used for a while");
+        self.distrusted.insert(relay, Distrust { until, failures });
         self.batches.remove(&relay);
     }
 
@@ -241,14 +253,15 @@
     }
 }
 
-/// A number below [`NUMBERS`] that spreads addresses evenly, the same in every process.
-fn number(address: SocketAddr) -> u32 {
+/// Maps an address to a bucket below [`BUCKETS`]. Spreads addresses evenly and is the same in every
+/// process.
+fn bucket(address: SocketAddr) -> u32 {
     let ip = match address.ip() {
         IpAddr::V4(ip) => u32::from(ip),
         // The last group differs between the hosts of a network.
         IpAddr::V6(ip) => u32::from(ip.segments()[7]),
     };
     let mixed = ip.wrapping_add(u32::from(address.port()));
-    // Fibonacci hashing; neighbours end up far apart.
+    // Fibonacci hashing spreads neighbouring addresses far apart.
     mixed.wrapping_mul(0x9e37_79b9) >> 16
 }
