--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -19,8 +19,8 @@
 enum Settling {
     /// An attempt may still run, or the incarnation that replaced it isn't known.
     Open,
-    /// No attempt has run since `since`. Whether each one ran to its end is known only from a list
-    /// of the successor.
+    /// No attempt has run since `since`. Whether each one ran to its end is known only from a
+    /// report of the successor.
     Asks { successor: MinionId, since: Now },
     /// The outcome of every order is known.
     Over,
@@ -245,7 +245,7 @@
     /// Returns what is known about the orders that were sent to a replaced incarnation.
     ///
     /// A confirmed stop shows that the attempt isn't running, but not whether it had already run to
-    /// its end. Only the incarnation that accepted the orders knows that, and a list that it was
+    /// its end. Only the incarnation that accepted the orders knows that, and a report that it was
     /// asked for before the stops were complete may lack an end.
     fn settling(&self, now: Now, id: &MinionId) -> Settling {
         let Some(agent) = self.agents.get(id) else {
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Asks an agent for a list, unless it has already been asked for one since then.
+    /// Asks an agent for a report, unless it has already been asked for one since then.
     fn await_list(&mut self, now: Now, id: &MinionId, since: Now) {
         let known = self.agents.get(id);
         if known.is_none_or(|agent| agent.awaited >= Some(since)) {
@@ -301,8 +301,8 @@
         }
     }
 
-    /// Stops the stopped attempts of an agent's earlier incarnations again if a list of the agent
-    /// shows one of them, although the list was asked for when that attempt had to have ended.
+    /// Stops the stopped attempts of an agent's earlier incarnations again if a report of the agent
+    /// shows one of them, although the report was asked for when that attempt had to have ended.
     pub(super) fn stop_again(
         &mut self,
         now: Now,
--- a/src/core/workload/scheduler/mod.rs
+++ b/src/core/workload/scheduler/mod.rs
@@ -12,7 +12,7 @@
 //!
 //! - the agent refused its start, and every earlier start of the attempt was answered;
 //! - the agent acknowledged a stop, after which it refuses the attempt;
-//! - the agent has seen this leader's term and lists the attempt neither as running nor as ended:
+//! - the agent has seen this leader's term and reports the attempt neither as running nor as ended:
 //!   from then on it refuses orders of earlier terms;
 //! - the agent's incarnation has terminated;
 //! - the agent's lease has expired by the agent's own clock. The last lease that was sent counts,
@@ -20,10 +20,10 @@
 //!
 //! Which incarnation runs at an address is known only from what answers there. An order names the
 //! agent that it is for, and an agent of another name refuses it. A later incarnation of the same
-//! agent accepts it, and only its lists show that it is another incarnation. So an attempt that was
-//! ordered of one incarnation and never seen there is stopped at the next incarnation before it is
-//! abandoned. The leader also waits for a list of that next incarnation, which tells whether the
-//! attempt had already ended.
+//! agent accepts it, and only its reports show that it is another incarnation. So an attempt that
+//! was ordered of one incarnation and never seen there is stopped at the next incarnation before it
+//! is abandoned. The leader also waits for a report of that next incarnation, which tells whether
+//! the attempt had already ended.
 //!
 //! A heartbeat alone never marks another incarnation as terminated, because it may arrive late. An
 //! agent that is heard from for the first time gets no work until it has answered an order; its
@@ -46,7 +46,7 @@
 //! agents that got the orders. Until it has, it assumes that the orders were given. Once an agent
 //! has seen this term, it accepts no order of an earlier term. Whatever an earlier leader told the
 //! agent to stop has then ended when the longest time that a stop takes has passed, so what the
-//! agent lists after that time had not been told to stop.
+//! agent reports as running after that time had not been told to stop.
 
 mod agent;
 mod agents;
@@ -156,7 +156,7 @@
 /// Attempts of a task whose queue is no longer in the catalog.
 const ATTEMPTS: u32 = 3;
 
-/// Properties of the agents and the provider that the scheduler relies on.
+/// Time limits of the agents, the provider and the scheduler itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// The longest lease that an agent accepts.
