--- a/src/core/workload/scheduler/agent.rs
+++ b/src/core/workload/scheduler/agent.rs
@@ -3,9 +3,9 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{
-    RETRY, SPARE, Settings,
+    ORDER_RETRY_DELAY, START_MARGIN, Settings,
     order::{AgentTime, OrderId, Target},
-    throttle::FULL,
+    throttle::FULL_SHARE,
 };
 use crate::core::{
     consensus::Index,
@@ -211,7 +211,7 @@
             aside: now,
             cordoned: false,
             ending: false,
-            share: FULL,
+            share: FULL_SHARE,
             throttled: Now::ZERO,
             idle: now,
             failed: Vec::new(),
@@ -447,7 +447,7 @@
             unanswered: None,
             tries: 0,
             tail: spec.tail,
-            share: FULL,
+            share: FULL_SHARE,
             best_effort: spec.best_effort,
             lasting: spec.lasting,
             begun: false,
@@ -468,7 +468,7 @@
     /// By when it must have begun; without an end if that doesn't matter.
     pub(super) fn deadline(&self, settings: &Settings) -> Now {
         if settings.protections.deadlines {
-            self.placed + settings.notice
+            self.placed + settings.start_window
         } else {
             Now::MAX
         }
@@ -476,7 +476,7 @@
 
     /// Until when its start may be sent.
     pub(super) fn last_try(&self, settings: &Settings) -> Now {
-        self.deadline(settings).saturating_sub(SPARE)
+        self.deadline(settings).saturating_sub(START_MARGIN)
     }
 
     /// When its start or stop, if it is due, may be sent.
@@ -484,7 +484,7 @@
         if self.tries == 0 {
             self.since
         } else {
-            self.since + RETRY
+            self.since + ORDER_RETRY_DELAY
         }
     }
 
--- a/src/core/workload/scheduler/answers.rs
+++ b/src/core/workload/scheduler/answers.rs
@@ -3,10 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
-    ACK_DELAY, About, Answer, End, Ends, GAP, MinionId, Now, OrderId, Pending, Phase, Placed,
-    RENEW_RETRY, RETRY, Refusal, Report, Scheduler, Settings, Slot, TRIES, TaskId, UNWELL, What,
+    About, Answer, End, Ends, IDLE_POLL_DELAY, MAX_START_TRIES, MinionId, Now, ORDER_RETRY_DELAY,
+    OrderId, Pending, Phase, Placed, RENEWAL_GAP, RENEWAL_RETRY_DELAY, Refusal, Report, Scheduler,
+    Settings, Slot, TaskId, UNWELL_PAUSE, What,
 };
-use super::{agent::LAGGING, throttle::UNTOLD};
+use super::{agent::LAGGING, throttle::UNKNOWN_SHARE};
 use crate::core::workload::command::Ending;
 
 /// What a lasting task says that is at work, in hundredths.
@@ -59,10 +60,10 @@
                 if !matches!(answer, Answer::Done { .. })
                     && let Some(slot) = self.slot(&agent, task)
                 {
-                    slot.share = UNTOLD;
+                    slot.share = UNKNOWN_SHARE;
                 }
             }
-            About::Sweep(agent) => self.swept(now, &agent, &answer),
+            About::StopUnplaced(agent) => self.swept(now, &agent, &answer),
             About::Renew {
                 agent,
                 acked,
@@ -76,10 +77,10 @@
                 self.renewed(now, &about, &agent, answer);
             }
             About::Hosts => {
-                self.hosts_listed(now, sent, answer);
+                self.take_host_list(now, sent, answer);
             }
-            About::Eligible(question) => self.eligible_told(now, sent, question, answer),
-            About::Duty(host) => self.duty_answered(now, order, &host, &answer),
+            About::Eligible(question) => self.take_eligible_answer(now, sent, question, answer),
+            About::Operation(host) => self.take_host_answer(now, order, &host, &answer),
         }
     }
 
@@ -117,7 +118,7 @@
             ..
         } = answer
         {
-            agent.aside = agent.aside.max(now + UNWELL);
+            agent.aside = agent.aside.max(now + UNWELL_PAUSE);
         }
         let Some(slot) = agent.slots.get_mut(&task) else {
             return;
@@ -127,7 +128,7 @@
                 slot.unanswered = Some(sent);
             }
             if slot.tries == 1 {
-                self.unbegun.extend(slot.unbegun(task, id));
+                self.not_started.extend(slot.unbegun(task, id));
             }
         }
         // It may have been told to stop meanwhile.
@@ -139,10 +140,10 @@
                 slot.begun = true;
                 slot.enter(now, Phase::Running);
             }
-            Answer::Silent if slot.tries < TRIES => slot.enter(now, Phase::Due),
+            Answer::Silent if slot.tries < MAX_START_TRIES => slot.enter(now, Phase::Due),
             Answer::Refused {
                 why: Refusal::Late, ..
-            } if slot.tries < TRIES => {
+            } if slot.tries < MAX_START_TRIES => {
                 log::info!(agent:% = id, task:%, order; "a start came to its agent too late");
                 slot.enter(now, Phase::Due);
             }
@@ -156,7 +157,7 @@
                 slot.enter(now, Phase::Ended);
                 let attempt = slot.attempt;
                 log::info!(agent:% = id, task:%, attempt, answer:?; "an attempt is given up, as its start was refused");
-                self.freed.push(Placed {
+                self.abandoned.push(Placed {
                     task,
                     attempt,
                     agent: id.clone(),
@@ -188,7 +189,7 @@
                 // It can't be started by anything that is still under way.
                 slot.unanswered = None;
                 slot.enter(now, Phase::Stopped);
-                agent.next = agent.next.min(now + GAP);
+                agent.next = agent.next.min(now + RENEWAL_GAP);
             }
             _ => slot.enter(now, Phase::Stopping(None)),
         }
@@ -200,7 +201,7 @@
             && !matches!(answer, Answer::Done { .. })
             && let Some(agent) = self.agents.get_mut(id)
         {
-            agent.next = agent.next.min(now + RETRY);
+            agent.next = agent.next.min(now + ORDER_RETRY_DELAY);
         }
     }
 
@@ -230,25 +231,30 @@
                 }
                 agent.tell_time(now, report.clock);
                 agent.next = next;
-                self.supersede(now, sent, id);
+                self.replace_former(now, sent, id);
                 self.take_report(now, sent, id, &report);
-                self.measure(now, id, &report);
+                self.adjust_throttle(now, id, &report);
             }
             Answer::Elsewhere => {
-                self.gone.insert(id.clone());
+                self.terminated.insert(id.clone());
             }
-            Answer::Reborn => self.replace(now, id, None),
+            Answer::Reborn => self.mark_replaced(now, id, None),
             _ => {
                 if agent.trouble.is_none() {
                     log::info!(agent:% = id; "an agent doesn't answer");
                     let slots = agent.slots.iter();
                     let unbegun = slots.filter_map(|(task, slot)| slot.unbegun(*task, id));
-                    self.unbegun.extend(unbegun);
+                    self.not_started.extend(unbegun);
                 }
                 agent.trouble.get_or_insert(sent);
                 agent.silent.get_or_insert(now);
                 let rests = agent.slots.is_empty() && !agent.owes_list();
-                agent.next = now + if rests { ACK_DELAY } else { RENEW_RETRY };
+                agent.next = now
+                    + if rests {
+                        IDLE_POLL_DELAY
+                    } else {
+                        RENEWAL_RETRY_DELAY
+                    };
             }
         }
     }
@@ -256,13 +262,15 @@
     fn take_report(&mut self, now: Now, sent: Now, id: &MinionId, report: &Report) {
         self.take_ends(now, id, report);
         let Settings {
-            stop, protections, ..
+            max_stop: stop,
+            protections,
+            ..
         } = self.settings;
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         let fenced = *agent.fenced.get_or_insert(report.clock);
-        let settled = report.clock >= fenced + stop || !protections.spent;
+        let settled = report.clock >= fenced + stop || !protections.inherited_stops;
         let ended: BTreeSet<_> = report.ended.iter().map(|e| (e.task, e.attempt)).collect();
         let running = report.running.iter();
         let running: BTreeMap<_, _> = running.map(|r| ((r.task, r.attempt), r)).collect();
@@ -285,7 +293,7 @@
             if settled && !here && !ended.contains(&key) {
                 log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "an attempt is given up, as its agent doesn't list it");
                 slot.enter(now, Phase::Ended);
-                self.freed.push(Placed {
+                self.abandoned.push(Placed {
                     task: *task,
                     attempt: slot.attempt,
                     agent: id.clone(),
@@ -320,15 +328,15 @@
         let to = agent.target();
         // A start that is sent meanwhile brings the next look forward.
         if agent.slots.is_empty() && !agent.owes_list() {
-            agent.next = agent.next.max(now + ACK_DELAY);
+            agent.next = agent.next.max(now + IDLE_POLL_DELAY);
         }
-        self.stop_again(now, sent, id, &strays);
+        self.stop_late_attempts(now, sent, id, &strays);
         for (task, attempt) in strays {
             log::warn!(agent:% = id, task:%, attempt; "an attempt runs that was given up; it is stopped");
             let to = to.clone();
-            self.order(
+            self.send_order(
                 now,
-                About::Sweep(id.clone()),
+                About::StopUnplaced(id.clone()),
                 What::Stop { to, task, attempt },
             );
         }
@@ -400,7 +408,7 @@
     fn is_there(&mut self, now: Now, id: &MinionId, answer: &Answer) -> bool {
         self.note_clock(now, id, answer);
         if matches!(answer, Answer::Elsewhere) {
-            self.gone.insert(id.clone());
+            self.terminated.insert(id.clone());
             return false;
         }
         true
--- a/src/core/workload/scheduler/balance.rs
+++ b/src/core/workload/scheduler/balance.rs
@@ -15,20 +15,20 @@
 
 use super::{
     Agent, HostState, HostView, Ledger, Now, PoolId, Scheduler, demand::Need, hosts::Purpose,
-    vacating::emptiest,
+    vacating::take_emptiest,
 };
 use crate::core::types::HostId;
 
 /// How long a host has to be empty before it is moved to the spare pool: by then it has cost as
 /// much as two moves.
-const PARK: Duration = Duration::from_millis(2500);
+const PARK_DELAY: Duration = Duration::from_millis(2500);
 /// How long a surge of demand takes to reach its peak.
-const RISE: Duration = Duration::from_secs(4);
+const SURGE_RISE: Duration = Duration::from_secs(4);
 /// Delay between log lines of what the pools need.
-const LOG: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A number of hosts for each pool.
-pub(super) type Counts = BTreeMap<PoolId, usize>;
+pub(super) type HostCounts = BTreeMap<PoolId, usize>;
 
 impl Scheduler {
     /// Moves hosts to the pools that need them, and idle ones to the spare pool.
@@ -36,29 +36,29 @@
         let spare = self.catalog.pools.iter().find(|pool| pool.spare);
         let spare = spare.map(|pool| pool.name.clone());
         let needs = self.needs(now, span, ledger);
-        let mut have = self.have();
+        let mut have = self.host_counts();
         self.log_pools(now, &needs, &have);
-        self.settle_vacating(now, &needs, &mut have);
-        let present: Counts = needs.iter().map(|(p, n)| (p.clone(), n.now)).collect();
-        let kept: Counts = needs.iter().map(|(p, n)| (p.clone(), n.keep)).collect();
+        self.check_vacating(now, &needs, &mut have);
+        let present: HostCounts = needs.iter().map(|(p, n)| (p.clone(), n.now)).collect();
+        let kept: HostCounts = needs.iter().map(|(p, n)| (p.clone(), n.keep)).collect();
         let spares = spare.as_ref();
-        let mut free = self.free_hosts(now);
-        self.supply(now, &present, &mut have, |needs, have, to| {
-            donor(&mut free, needs, have, spares, to)
+        let mut free = self.empty_hosts_by_pool(now);
+        self.fill_pools(now, &present, &mut have, |needs, have, to| {
+            take_empty(&mut free, needs, have, spares, to)
         });
-        let mut soon = self.empty_soon(now);
-        self.supply(now, &present, &mut have, |needs, have, to| {
-            emptiest(&mut soon, needs, have, to)
+        let mut soon = self.hosts_empty_soon(now);
+        self.fill_pools(now, &present, &mut have, |needs, have, to| {
+            take_emptiest(&mut soon, needs, have, to)
         });
-        self.supply(now, &kept, &mut have, |needs, have, to| {
-            donor(&mut free, needs, have, spares, to)
+        self.fill_pools(now, &kept, &mut have, |needs, have, to| {
+            take_empty(&mut free, needs, have, spares, to)
         });
         // Before the first surge it is unknown where hosts will be needed, and while a surge builds
         // up its pool will soon need those that are idle elsewhere.
-        let last = self.hosts.turns.last();
-        let settled = last.is_some_and(|began| now >= began + RISE);
+        let last = self.hosts.surges.last();
+        let settled = last.is_some_and(|began| now >= began + SURGE_RISE);
         if let Some(spare) = spare.filter(|_| settled) {
-            self.park(now, &kept, &mut have, &spare);
+            self.park_idle(now, &kept, &mut have, &spare);
         }
         let surplus = |(pool, keep): (PoolId, usize)| {
             let have = have.get(&pool).copied().unwrap_or_default();
@@ -69,15 +69,15 @@
 
     /// Moves hosts to the pools that have fewer than they need from pools that have more. `choose`
     /// takes one of the movable hosts for a pool, given what all pools need and have.
-    fn supply(
+    fn fill_pools(
         &mut self,
         now: Now,
-        needs: &Counts,
-        have: &mut Counts,
-        mut choose: impl FnMut(&Counts, &Counts, &PoolId) -> Option<HostId>,
+        needs: &HostCounts,
+        have: &mut HostCounts,
+        mut choose: impl FnMut(&HostCounts, &HostCounts, &PoolId) -> Option<HostId>,
     ) {
         let mut short: BTreeSet<_> = needs.keys().cloned().collect();
-        while let Some(pool) = shortest(needs, have, &short) {
+        while let Some(pool) = neediest(needs, have, &short) {
             let Some(host) = choose(needs, have, &pool) else {
                 short.remove(&pool);
                 continue;
@@ -86,19 +86,19 @@
                 *have.entry(view.pool.clone()).or_default() -= 1;
             }
             *have.entry(pool.clone()).or_default() += 1;
-            self.begin_duty(now, &host, Purpose::Move(pool));
+            self.begin_operation(now, &host, Purpose::Move(pool));
         }
     }
 
     /// Logs what the pools need and have, and the reasons. It does so once a second, as the figures
     /// change all the time.
-    fn log_pools(&mut self, now: Now, needs: &BTreeMap<PoolId, Need>, have: &Counts) {
-        if now < self.hosts.logged + LOG {
+    fn log_pools(&mut self, now: Now, needs: &BTreeMap<PoolId, Need>, have: &HostCounts) {
+        if now < self.hosts.logged_at + LOG_INTERVAL {
             return;
         }
-        self.hosts.logged = now;
-        let mut empties = Counts::new();
-        for (_, view, _) in self.empties(now) {
+        self.hosts.logged_at = now;
+        let mut empties = HostCounts::new();
+        for (_, view, _) in self.empty_hosts(now) {
             *empties.entry(view.pool.clone()).or_default() += 1;
         }
         for (pool, need) in needs {
@@ -106,7 +106,7 @@
             let empty = empties.get(pool).copied().unwrap_or_default();
             let demand = self.hosts.demands.get(pool).copied().unwrap_or_default();
             let (placed, demand, trend) = (
-                self.used(pool) / 1000,
+                self.used_millicores(pool) / 1000,
                 demand.used as u64 / 1000,
                 demand.trend as u64 / 1000,
             );
@@ -116,16 +116,16 @@
     }
 
     /// Thousandths of a core that the tasks of a pool have.
-    fn used(&self, pool: &PoolId) -> u64 {
+    fn used_millicores(&self, pool: &PoolId) -> u64 {
         let agents = self.agents.with_room(pool, 0);
         agents.map(|agent| agent.used.millicores).sum()
     }
 
     /// Hosts that each pool has or is about to get.
-    pub(super) fn have(&self) -> Counts {
-        let mut have: Counts = BTreeMap::new();
+    pub(super) fn host_counts(&self) -> HostCounts {
+        let mut have: HostCounts = BTreeMap::new();
         for (host, view) in &self.hosts.views {
-            let pool = match self.hosts.duties.get(host).map(|duty| &duty.what) {
+            let pool = match self.hosts.operations.get(host).map(|duty| &duty.purpose) {
                 Some(Purpose::Move(pool)) => pool,
                 // It is of no use until its maintenance is over.
                 Some(Purpose::Maintain(_)) => continue,
@@ -147,9 +147,9 @@
 
     /// The empty hosts of each pool. They are found once for all moves of one balancing pass, as
     /// there may be as many moves to decide as there are hosts.
-    fn free_hosts(&self, now: Now) -> BTreeMap<PoolId, BTreeSet<HostId>> {
+    fn empty_hosts_by_pool(&self, now: Now) -> BTreeMap<PoolId, BTreeSet<HostId>> {
         let mut free: BTreeMap<PoolId, BTreeSet<HostId>> = BTreeMap::new();
-        for (host, view, _) in self.empties(now) {
+        for (host, view, _) in self.empty_hosts(now) {
             let hosts = free.entry(view.pool.clone()).or_default();
             hosts.insert(host.clone());
         }
@@ -161,14 +161,14 @@
     pub(super) fn is_movable(&self, now: Now, view: &HostView) -> bool {
         let host = &view.host;
         view.state == HostState::Up
-            && !self.hosts.duties.contains_key(host)
+            && !self.hosts.operations.contains_key(host)
             && !self.touching.is_held(now, host)
-            && !self.is_refused(now, host)
+            && !self.was_refused(now, host)
             && self.catalog.has_pool(&view.pool)
     }
 
     /// Hosts that are up and run nothing, and since when.
-    pub(super) fn empties(&self, now: Now) -> impl Iterator<Item = (&HostId, &HostView, Now)> {
+    pub(super) fn empty_hosts(&self, now: Now) -> impl Iterator<Item = (&HostId, &HostView, Now)> {
         self.hosts.views.iter().filter_map(move |(host, view)| {
             if !self.is_movable(now, view) {
                 return None;
@@ -184,9 +184,15 @@
         })
     }
 
-    pub(super) fn park(&mut self, now: Now, needs: &Counts, have: &mut Counts, spare: &PoolId) {
-        let idle = self.empties(now).filter(|(_, view, since)| {
-            view.pool != *spare && view.agent.is_some() && now >= *since + PARK
+    pub(super) fn park_idle(
+        &mut self,
+        now: Now,
+        needs: &HostCounts,
+        have: &mut HostCounts,
+        spare: &PoolId,
+    ) {
+        let idle = self.empty_hosts(now).filter(|(_, view, since)| {
+            view.pool != *spare && view.agent.is_some() && now >= *since + PARK_DELAY
         });
         let idle: Vec<_> = idle
             .map(|(host, view, _)| (host.clone(), view.pool.clone()))
@@ -197,7 +203,7 @@
             // in alternation.
             if *count > needs.get(&pool).copied().unwrap_or_default() + 1 {
                 *count -= 1;
-                self.begin_duty(now, &host, Purpose::Move(spare.clone()));
+                self.begin_operation(now, &host, Purpose::Move(spare.clone()));
             }
         }
     }
@@ -205,10 +211,10 @@
 
 /// Takes an empty host that another pool can spare: from the pool with the largest surplus, and
 /// from the spare pool only if no other has one, since spares cost nothing while they wait.
-fn donor(
+fn take_empty(
     free: &mut BTreeMap<PoolId, BTreeSet<HostId>>,
-    needs: &Counts,
-    have: &Counts,
+    needs: &HostCounts,
+    have: &HostCounts,
     spare: Option<&PoolId>,
     to: &PoolId,
 ) -> Option<HostId> {
@@ -223,13 +229,13 @@
 }
 
 /// Hosts that a pool has beyond what it needs.
-pub(super) fn surplus(needs: &Counts, have: &Counts, pool: &PoolId) -> usize {
+pub(super) fn surplus(needs: &HostCounts, have: &HostCounts, pool: &PoolId) -> usize {
     let have = have.get(pool).copied().unwrap_or_default();
     have.saturating_sub(needs.get(pool).copied().unwrap_or_default())
 }
 
 /// The pool of `among` that has the smallest part of what it needs, if any of them lacks hosts.
-fn shortest(needs: &Counts, have: &Counts, among: &BTreeSet<PoolId>) -> Option<PoolId> {
+fn neediest(needs: &HostCounts, have: &HostCounts, among: &BTreeSet<PoolId>) -> Option<PoolId> {
     let part = |pool: &PoolId| {
         let need = needs.get(pool).copied().unwrap_or_default();
         let have = have.get(pool).copied().unwrap_or_default();
--- a/src/core/workload/scheduler/caps.rs
+++ b/src/core/workload/scheduler/caps.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Job, Ledger, PoolId, Scheduler, StepId, StepSpec, TaskId, ready::Waiting};
+use super::{Job, Ledger, PoolId, Scheduler, StepId, StepSpec, TaskId, ready::WaitingLoad};
 use crate::core::{
     types::{Resources, WorkspaceId},
     workload::spec::TaskIx,
@@ -39,7 +39,7 @@
         }
     }
 
-    fn of(&self, workspace: &str) -> Resources {
+    fn usage(&self, workspace: &str) -> Resources {
         self.sums.get(workspace).copied().unwrap_or_default()
     }
 }
@@ -47,11 +47,11 @@
 impl Scheduler {
     /// What a workspace runs or may run.
     fn spent(&self, ledger: &Ledger, workspace: &str) -> Resources {
-        ledger.used(workspace).plus(&self.proposed.of(workspace))
+        ledger.used(workspace).plus(&self.proposed.usage(workspace))
     }
 
     /// Whether this many tasks of a step may start together now under the cap of its workspace.
-    pub(super) fn may_start(
+    pub(super) fn cap_allows(
         &self,
         ledger: &Ledger,
         step: StepId,
@@ -70,7 +70,7 @@
     }
 
     /// Counts a task that is proposed to be placed against its workspace's cap.
-    pub(super) fn claim(&mut self, ledger: &Ledger, task: TaskId, spec: &StepSpec) {
+    pub(super) fn reserve(&mut self, ledger: &Ledger, task: TaskId, spec: &StepSpec) {
         let job = ledger.job(task.step.job);
         if let Some(workspace) = job.and_then(|job| job.workspace.clone()) {
             self.proposed.add(task, workspace, spec.need);
@@ -79,7 +79,12 @@
 
     /// The part of a pool's waiting work that the caps of its workspaces allow to run. Hosts are of
     /// no use for the rest.
-    pub(super) fn startable(&self, ledger: &Ledger, pool: &PoolId, waiting: Waiting) -> Waiting {
+    pub(super) fn startable(
+        &self,
+        ledger: &Ledger,
+        pool: &PoolId,
+        waiting: WaitingLoad,
+    ) -> WaitingLoad {
         let mut startable = waiting;
         for (workspace, held) in self.ready.held(pool) {
             let cap = self.catalog.cap(workspace).0.millicores;
@@ -91,14 +96,14 @@
             let part = (left as f64 / all as f64).min(1.0);
             let blocked = |waits: u64| waits - (waits as f64 * part) as u64;
             startable.all = startable.all.saturating_sub(blocked(held.all));
-            startable.short = startable.short.saturating_sub(blocked(held.short));
+            startable.batch = startable.batch.saturating_sub(blocked(held.batch));
         }
         startable
     }
 
     /// The part of an arriving job that its workspace's cap leaves room for, beside what already
     /// runs and waits. The rest doesn't count as demand.
-    pub(super) fn open_part(&self, ledger: &Ledger, job: &Job) -> f64 {
+    pub(super) fn allowed_part(&self, ledger: &Ledger, job: &Job) -> f64 {
         let Some(workspace) = &job.workspace else {
             return 1.0;
         };
--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -8,22 +8,22 @@
 use std::time::Duration;
 
 use super::{
-    Agent, AgentRecord, Change, Job, Ledger, MinionId, Now, Phase, Placed, Run, STRAY, Scheduler,
-    Settings, Slot, StepSpec, Task, TaskId, Wall,
+    Agent, AgentRecord, Change, Job, Ledger, MAX_ORDER_TRANSIT, MinionId, Now, Phase, Placed, Run,
+    Scheduler, Settings, Slot, StepSpec, Task, TaskId, Wall,
     hosts::Stage,
-    throttle::{INHERITED, UNTOLD},
+    throttle::{INHERITED_SHARE, UNKNOWN_SHARE},
 };
 use crate::core::types::Attempt;
 
 /// What is known about the orders that were sent to a replaced incarnation.
-enum Settling {
+enum ReplacedOutcome {
     /// An attempt may still run, or the incarnation that replaced it isn't known.
-    Open,
+    Unsettled,
     /// No attempt has run since `since`. Whether each one ran to its end is known only from a
     /// report of the successor.
-    Asks { successor: MinionId, since: Now },
+    NeedsReport { successor: MinionId, since: Now },
     /// The outcome of every order is known.
-    Over,
+    Settled,
 }
 
 impl Scheduler {
@@ -51,11 +51,11 @@
             slot.unanswered = Some(now);
             slot.inherited = true;
             slot.begun = !placed.unbegun;
-            slot.share = UNTOLD;
+            slot.share = UNKNOWN_SHARE;
             if self.settings.protections.inherit {
                 agent.add(task, slot);
             } else {
-                self.freed.push(Placed {
+                self.abandoned.push(Placed {
                     task,
                     attempt,
                     agent: id.clone(),
@@ -63,7 +63,7 @@
             }
         }
         if agent.has_best_effort() {
-            agent.share = INHERITED;
+            agent.share = INHERITED_SHARE;
         }
         if !agent.slots.is_empty() {
             agent.lease = inherited_lease(now, &self.settings);
@@ -72,28 +72,28 @@
         self.agents.insert(id.clone(), agent);
     }
 
-    pub(super) fn change(&mut self, now: Now, wall: Wall, ledger: &Ledger, change: &Change) {
+    pub(super) fn apply_change(&mut self, now: Now, wall: Wall, ledger: &Ledger, change: &Change) {
         match change {
             Change::Accepted(id) => {
                 if let Some(job) = ledger.job(*id) {
-                    self.accepted.insert(*id, now);
-                    let work = self.work(job) * self.open_part(ledger, job);
-                    self.note_demand(&self.pool(job), work);
-                    self.take_job(now, wall, *id, job);
+                    self.accepted_at.insert(*id, now);
+                    let work = self.batch_work(job) * self.allowed_part(ledger, job);
+                    self.add_demand(&self.pool(job), work);
+                    self.open_job(now, wall, *id, job);
                 }
             }
             Change::Over(id) => self.end_job(now, ledger, *id),
             Change::Opened(step) => {
                 if let Some(job) = ledger.job(step.job) {
-                    self.open(now, *step, job);
+                    self.open_step(now, *step, job);
                 }
             }
-            Change::Done { task, late } => self.settle(*task, *late),
+            Change::Done { task, late } => self.complete_task(*task, *late),
             Change::Superfluous(placed) => {
                 log::info!(task:% = placed.task, attempt = placed.attempt, agent:% = placed.agent; "an attempt is no longer needed");
                 self.stop(now, &placed.agent, placed.task);
             }
-            Change::Vacated { placed, again } => self.vacated(now, ledger, placed, *again),
+            Change::Vacated { placed, again } => self.remove_attempt(now, ledger, placed, *again),
             Change::Suspected(task, evidence) => {
                 if let Some(job) = ledger.job(task.step.job) {
                     self.suspect(job, *task, *evidence);
@@ -105,7 +105,7 @@
                 }
             }
             Change::Declared | Change::Placed(_) | Change::Wave(_) | Change::Convicted(_) => {}
-            Change::Agent(id) => self.know(now, ledger, id),
+            Change::Agent(id) => self.update_agent(now, ledger, id),
             Change::Renamed { from, to } => {
                 self.agents.remove(from);
                 self.ends.remove(from);
@@ -122,7 +122,7 @@
         }
     }
 
-    fn know(&mut self, now: Now, ledger: &Ledger, id: &MinionId) {
+    fn update_agent(&mut self, now: Now, ledger: &Ledger, id: &MinionId) {
         let Some(record) = ledger.agent(id) else {
             return;
         };
@@ -138,7 +138,7 @@
                 agent.unseen = true;
                 // Its host may have been listed, and chosen for an operation, before the agent's
                 // first heartbeat.
-                for duty in self.hosts.duties.values_mut() {
+                for duty in self.hosts.operations.values_mut() {
                     let chosen = duty.agent.is_none() && duty.name.as_ref() == Some(record.name());
                     if chosen && !matches!(duty.stage, Stage::Ordered(_) | Stage::Away) {
                         duty.agent = Some(id.clone());
@@ -147,7 +147,7 @@
                 }
                 self.agents.insert(id.clone(), agent);
                 // Its host may have come back, which only a list of the hosts shows.
-                self.hosts.newcomer = true;
+                self.hosts.new_agent = true;
             }
         }
     }
@@ -158,7 +158,7 @@
     /// An address and a name belong to one incarnation at a time. The others ran before the order
     /// was sent, and this one answered after it. About agents that became known after `sent` the
     /// answer says nothing.
-    pub(super) fn supersede(&mut self, now: Now, sent: Now, id: &MinionId) {
+    pub(super) fn replace_former(&mut self, now: Now, sent: Now, id: &MinionId) {
         let Some(seen) = self.agents.get_mut(id) else {
             return;
         };
@@ -175,17 +175,19 @@
             let agent = self.agents.get(other);
             agent.is_some_and(|agent| *agent.record.name() == name)
         });
-        self.gone.extend(others);
+        self.terminated.extend(others);
         let replaced = |other: &MinionId| self.replaced.contains(other);
         let (before, newly): (Vec<_>, Vec<_>) = same.into_iter().partition(replaced);
         // The incarnation that confirmed their stops has been replaced, too, and this one may still
         // receive starts of the attempts that were stopped.
         if !newly.is_empty() {
-            before.iter().for_each(|other| self.stop_anew(now, other));
+            before
+                .iter()
+                .for_each(|other| self.stop_replaced(now, other));
         }
         for other in before.iter().chain(&newly) {
             self.inherit_strays(other, id);
-            self.replace(now, other, Some(id));
+            self.mark_replaced(now, other, Some(id));
         }
         // An order for an earlier incarnation may have reached this one, with a longer lease than
         // this leader granted it.
@@ -204,7 +206,7 @@
     ///
     /// `by` is the later incarnation if it has answered under its own id. Until it does, only its
     /// answers to orders for this one show that it exists.
-    pub(super) fn replace(&mut self, now: Now, id: &MinionId, by: Option<&MinionId>) {
+    pub(super) fn mark_replaced(&mut self, now: Now, id: &MinionId, by: Option<&MinionId>) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
@@ -214,7 +216,7 @@
         // Failures of the earlier incarnation to answer say nothing about the one that runs now.
         agent.trouble = Some(now);
         agent.silent.get_or_insert(now);
-        agent.outlive(now, &self.settings);
+        agent.extend_lease(now, &self.settings);
         let unsettled = agent.slots.values_mut().filter(|slot| slot.is_unsettled());
         let mut count = 0;
         for slot in unsettled {
@@ -229,14 +231,16 @@
 
     /// Marks replaced incarnations as terminated once nothing that was ordered of them can start
     /// any more and all their results are in the log.
-    pub(super) fn settle_replaced(&mut self, now: Now) {
+    pub(super) fn retire_replaced(&mut self, now: Now) {
         for id in self.replaced.clone() {
-            match self.settling(now, &id) {
-                Settling::Open => {}
-                Settling::Asks { successor, since } => self.await_list(now, &successor, since),
-                Settling::Over => {
+            match self.replaced_outcome(now, &id) {
+                ReplacedOutcome::Unsettled => {}
+                ReplacedOutcome::NeedsReport { successor, since } => {
+                    self.request_report(now, &successor, since)
+                }
+                ReplacedOutcome::Settled => {
                     self.replaced.remove(&id);
-                    self.gone.insert(id);
+                    self.terminated.insert(id);
                 }
             }
         }
@@ -247,36 +251,36 @@
     /// A confirmed stop shows that the attempt isn't running, but not whether it had already run to
     /// its end. Only the incarnation that accepted the orders knows that, and a report that it was
     /// asked for before the stops were complete may lack an end.
-    fn settling(&self, now: Now, id: &MinionId) -> Settling {
+    fn replaced_outcome(&self, now: Now, id: &MinionId) -> ReplacedOutcome {
         let Some(agent) = self.agents.get(id) else {
-            return Settling::Over;
+            return ReplacedOutcome::Settled;
         };
         let mut since = None;
         for slot in agent.slots.values() {
             match slot.phase {
-                Phase::Stopping(_) => return Settling::Open,
-                Phase::Stopped => since = since.max(Some(slot.since + self.settings.stop)),
+                Phase::Stopping(_) => return ReplacedOutcome::Unsettled,
+                Phase::Stopped => since = since.max(Some(slot.since + self.settings.max_stop)),
                 _ => {}
             }
         }
         // Nothing had to be stopped there, or the outcome of all of it is known.
         let Some(since) = since else {
-            return Settling::Over;
+            return ReplacedOutcome::Settled;
         };
         let successor = self.agents.named(agent.record.name());
         let successor = successor.filter(|next| !next.replaced && !next.unseen);
         match successor {
-            Some(next) if now >= since && next.has_told(since) => Settling::Over,
-            Some(next) if now >= since => Settling::Asks {
+            Some(next) if now >= since && next.has_told(since) => ReplacedOutcome::Settled,
+            Some(next) if now >= since => ReplacedOutcome::NeedsReport {
                 successor: next.record.id.clone(),
                 since,
             },
-            _ => Settling::Open,
+            _ => ReplacedOutcome::Unsettled,
         }
     }
 
     /// Asks an agent for a report, unless it has already been asked for one since then.
-    fn await_list(&mut self, now: Now, id: &MinionId, since: Now) {
+    fn request_report(&mut self, now: Now, id: &MinionId, since: Now) {
         let known = self.agents.get(id);
         if known.is_none_or(|agent| agent.awaited >= Some(since)) {
             return;
@@ -288,11 +292,11 @@
     }
 
     /// Stops the stopped attempts of a replaced incarnation again.
-    fn stop_anew(&mut self, now: Now, id: &MinionId) {
+    fn stop_replaced(&mut self, now: Now, id: &MinionId) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.outlive(now, &self.settings);
+        agent.extend_lease(now, &self.settings);
         for slot in agent.slots.values_mut() {
             if matches!(slot.phase, Phase::Stopping(_) | Phase::Stopped) {
                 slot.tries = 0;
@@ -303,7 +307,7 @@
 
     /// Stops the stopped attempts of an agent's earlier incarnations again if a report of the agent
     /// shows one of them, although the report was asked for when that attempt had to have ended.
-    pub(super) fn stop_again(
+    pub(super) fn stop_late_attempts(
         &mut self,
         now: Now,
         sent: Now,
@@ -316,7 +320,7 @@
         let Some(agent) = self.agents.get(id) else {
             return;
         };
-        let stop = self.settings.stop;
+        let stop = self.settings.max_stop;
         let late = |agent: &Agent| {
             running.iter().any(|(task, attempt)| {
                 let slot = agent.slots.get(task);
@@ -328,7 +332,7 @@
         let former = former.filter(|former| former.replaced && late(former));
         let former: Vec<_> = former.map(|agent| agent.record.id.clone()).collect();
         for former in former {
-            self.stop_anew(now, &former);
+            self.stop_replaced(now, &former);
         }
     }
 
@@ -341,7 +345,7 @@
     }
 
     /// Removes an attempt that no longer runs.
-    fn vacated(&mut self, now: Now, ledger: &Ledger, placed: &Placed, again: bool) {
+    fn remove_attempt(&mut self, now: Now, ledger: &Ledger, placed: &Placed, again: bool) {
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
             let same = |slot: &Slot| slot.attempt == placed.attempt;
             if agent.slots.get(&placed.task).is_some_and(same) {
@@ -349,14 +353,14 @@
             }
         }
         if again {
-            self.free(now, ledger, placed.task);
+            self.make_ready(now, ledger, placed.task);
         }
     }
 
     /// Removes a task that is done, and so never runs again, from the ready tasks and the suspects.
     ///
     /// An abandoned attempt may turn out to have done it, so its latest attempt needn't be placed.
-    fn settle(&mut self, task: TaskId, late: bool) {
+    fn complete_task(&mut self, task: TaskId, late: bool) {
         self.ready.take(task.step, task.task);
         let held = self.suspects.clear(task);
         if let Some(held) = held.filter(|_| late) {
@@ -366,17 +370,17 @@
     }
 
     /// Makes a task ready again.
-    fn free(&mut self, now: Now, ledger: &Ledger, task: TaskId) {
+    fn make_ready(&mut self, now: Now, ledger: &Ledger, task: TaskId) {
         let Some(job) = ledger.job(task.step.job).filter(|job| !job.is_over()) else {
             return;
         };
         if !self.ready.free(task.step, task.task) {
-            self.open(now, task.step, job);
+            self.open_step(now, task.step, job);
         }
     }
 
     /// Makes committed starts due, and drops those that the ledger no longer shows as placed.
-    pub(super) fn check_start(&mut self, now: Now, ledger: &Ledger, start: &Placed) {
+    pub(super) fn confirm_start(&mut self, now: Now, ledger: &Ledger, start: &Placed) {
         let job = ledger.job(start.task.step.job);
         let task = job.and_then(|job| job.task(start.task));
         let stands = task.is_some_and(|task| {
@@ -391,7 +395,7 @@
             if stands {
                 // The job was cancelled in the meantime, and nothing was sent.
                 slot.enter(now, Phase::Ended);
-                self.freed.push(start.clone());
+                self.abandoned.push(start.clone());
                 return;
             }
         }
@@ -403,7 +407,7 @@
         let run = job.and_then(|job| job.runs.get(&start.task.step.occurrence));
         let open = !run.is_some_and(Run::is_finished);
         if open && task.is_none_or(needed) {
-            self.free(now, ledger, start.task);
+            self.make_ready(now, ledger, start.task);
         }
     }
 }
@@ -411,9 +415,9 @@
 impl Agent {
     /// Extends the lease for orders of this incarnation that the next one may carry out: with the
     /// longest lease by the next one's clock, and later if an order got no answer.
-    fn outlive(&mut self, now: Now, settings: &Settings) {
+    fn extend_lease(&mut self, now: Now, settings: &Settings) {
         let unanswered = self.slots.values().filter_map(|slot| slot.unanswered).max();
-        let astray = unanswered.map(|sent| sent + STRAY + settings.lease);
+        let astray = unanswered.map(|sent| sent + MAX_ORDER_TRANSIT + settings.lease);
         let lease = inherited_lease(now, settings);
         self.lease = self.lease.max(lease).max(astray.unwrap_or(lease));
     }
--- a/src/core/workload/scheduler/demand.rs
+++ b/src/core/workload/scheduler/demand.rs
@@ -14,20 +14,20 @@
 
 /// The time over which arriving work is averaged: long enough to show a trend in a few jobs, and
 /// short compared with the seconds that demand lasts.
-const TREND: Duration = Duration::from_millis(800);
+const TREND_WINDOW: Duration = Duration::from_millis(800);
 /// The time over which the growth of running and ready work is averaged.
-const GROWTH: Duration = Duration::from_millis(300);
+const GROWTH_WINDOW: Duration = Duration::from_millis(300);
 /// How far ahead growth is extrapolated: the time that a move takes.
-pub(super) const AHEAD: Duration = Duration::from_millis(1500);
+pub(super) const MOVE_TIME: Duration = Duration::from_millis(1500);
 /// The extrapolated load is at most this many times the present one.
-const MOST: f64 = 3.0;
+const MAX_GROWTH_FACTOR: f64 = 3.0;
 /// The time in which a pool's remembered need falls by half. Noise comes and goes faster. Hosts
 /// that are kept for longer are missing where the next surge begins.
-const DECLINE: Duration = Duration::from_millis(700);
+const NEED_HALF_LIFE: Duration = Duration::from_millis(700);
 /// Factor on a pool's need, since tasks don't fill hosts without gaps.
 const HEADROOM: f64 = 1.1;
 /// How many hosts beyond its usual need a pool has to need at least for a surge.
-const RUSH_HOSTS: f64 = 1.5;
+const MIN_SURGE_HOSTS: f64 = 1.5;
 
 /// How much work a pool has.
 #[derive(Clone, Copy, Debug, Default)]
@@ -60,7 +60,7 @@
     /// Thousandths of a core of all tasks.
     all: u64,
     /// Thousandths of a core of batch tasks, which finish by themselves.
-    short: u64,
+    batch: u64,
     /// The number of hosts that a long-running step needs to keep its tasks apart.
     spread: usize,
     /// The part of the waiting batch tasks that no cap keeps from starting.
@@ -71,7 +71,7 @@
     fn default() -> Self {
         Self {
             all: 0,
-            short: 0,
+            batch: 0,
             spread: 0,
             open: 1.0,
         }
@@ -80,7 +80,7 @@
 
 impl Scheduler {
     /// Counts the work of a job that was accepted.
-    pub(super) fn note_demand(&mut self, pool: &PoolId, work: f64) {
+    pub(super) fn add_demand(&mut self, pool: &PoolId, work: f64) {
         let demand = self.hosts.demands.entry(pool.clone()).or_default();
         demand.arrived += work;
     }
@@ -102,20 +102,20 @@
         self.losses.watch(now, busy);
         let pools = self.catalog.pools.iter().filter(|p| !p.spare);
         let names: Vec<_> = pools.map(|p| p.name.clone()).collect();
-        let expected = self.hosts.turns.expected(now);
-        let decline = 0.5_f64.powf(span.as_secs_f64() / DECLINE.as_secs_f64());
+        let expected = self.hosts.surges.expected(now);
+        let decline = 0.5_f64.powf(span.as_secs_f64() / NEED_HALF_LIFE.as_secs_f64());
         let mut needs = BTreeMap::new();
         for name in names {
             let load = loads.get(&name).copied().unwrap_or_default();
             let demand = self.hosts.demands.entry(name.clone()).or_default();
-            let short = demand.look(load.short as f64, span, load.open);
+            let short = demand.update(load.batch as f64, span, load.open);
             self.hosts
-                .turns
-                .observe(now, span, &name, short, size * RUSH_HOSTS);
+                .surges
+                .observe(now, span, &name, short, size * MIN_SURGE_HOSTS);
             demand.need = short.max(demand.need * decline);
             let expected = expected.as_ref().filter(|(pool, _)| *pool == name);
             let kept = demand.need.max(expected.map_or(0.0, |(_, need)| *need));
-            let lasting = load.all.saturating_sub(load.short) as f64;
+            let lasting = load.all.saturating_sub(load.batch) as f64;
             let hosts = |cores: f64| {
                 let hosts = ((cores + lasting) * HEADROOM / size).ceil();
                 // A pool always has a host; otherwise its next job would wait for a move.
@@ -138,17 +138,17 @@
             let load = loads.entry(agent.record.pool.clone()).or_default();
             load.all += agent.used.millicores;
             let short = agent.slots.values().filter(|slot| !slot.lasting);
-            load.short += short.map(|slot: &Slot| slot.room.millicores).sum::<u64>();
+            load.batch += short.map(|slot: &Slot| slot.room.millicores).sum::<u64>();
         }
         for (pool, waiting) in self.ready.waiting() {
             let startable = self.startable(ledger, pool, waiting);
             let load = loads.entry(pool.clone()).or_default();
-            if waiting.short > 0 {
-                load.open = startable.short as f64 / waiting.short as f64;
+            if waiting.batch > 0 {
+                load.open = startable.batch as f64 / waiting.batch as f64;
             }
             let waiting = startable;
             load.all += waiting.all;
-            load.short += waiting.short;
+            load.batch += waiting.batch;
             load.spread = waiting.spread;
         }
         loads
@@ -158,17 +158,18 @@
 impl Demand {
     /// Takes in what the batch tasks take or wait for now, and which part of further arrivals no
     /// cap keeps from starting. Returns what they will need by the time that a move takes.
-    fn look(&mut self, used: f64, span: Duration, open: f64) -> f64 {
+    fn update(&mut self, used: f64, span: Duration, open: f64) -> f64 {
         let seconds = span.as_secs_f64().max(0.001);
-        let weight = 1.0 - (-seconds / TREND.as_secs_f64()).exp();
-        let quick = 1.0 - (-seconds / GROWTH.as_secs_f64()).exp();
+        let weight = 1.0 - (-seconds / TREND_WINDOW.as_secs_f64()).exp();
+        let quick = 1.0 - (-seconds / GROWTH_WINDOW.as_secs_f64()).exp();
         let rate = self.arrived / seconds / 1000.0;
         self.arrived = 0.0;
         self.trend += (rate - self.trend) * weight;
         let growth = (used - self.used) / seconds;
         self.growth += (growth - self.growth) * quick;
         self.used = used;
-        let ahead = used + open * self.growth.max(0.0) * AHEAD.as_secs_f64();
-        used.max(self.trend).max(ahead.min(used * MOST))
+        let ahead = used + open * self.growth.max(0.0) * MOVE_TIME.as_secs_f64();
+        used.max(self.trend)
+            .max(ahead.min(used * MAX_GROWTH_FACTOR))
     }
 }
--- a/src/core/workload/scheduler/eligible.rs
+++ b/src/core/workload/scheduler/eligible.rs
@@ -16,10 +16,10 @@
 
 /// Most agents in one question. The service takes time for each agent, and the objectives of jobs
 /// allow for one question about this many agents for each step.
-const ASKED: usize = 30;
+const MAX_AGENTS_ASKED: usize = 30;
 /// Questions that may be outstanding at once. The service answers one after the other, and holds at
 /// most 32 of all leaders together; it refuses more.
-const UNDER_WAY: usize = 8;
+const MAX_OPEN_QUESTIONS: usize = 8;
 /// Delay from a question that got no answer to the next one.
 const RETRY: Duration = Duration::from_millis(300);
 /// A grant isn't used within this time before it expires: a start may take as long to arrive.
@@ -28,13 +28,13 @@
 /// What is known about all steps that had to be asked about.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Eligible {
-    steps: BTreeMap<StepId, Known>,
-    under_way: usize,
+    steps: BTreeMap<StepId, StepEligibility>,
+    open_questions: usize,
 }
 
 /// What is known about a step.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct StepEligibility {
     /// Agents that were asked about; those without a grant aren't allowed.
     asked: BTreeSet<MinionId>,
     /// The grant of each allowed agent, and until when it may be used.
@@ -75,7 +75,7 @@
     }
 }
 
-impl Known {
+impl StepEligibility {
     /// Forgets expired grants, so that they are asked for again.
     fn expire(&mut self, now: Now) {
         let Self { asked, grants, .. } = self;
@@ -109,22 +109,22 @@
         };
         let known = self.eligible.steps.entry(step).or_default();
         known.expire(now);
-        if known.asking || now < known.next || self.eligible.under_way >= UNDER_WAY {
+        if known.asking || now < known.next || self.eligible.open_questions >= MAX_OPEN_QUESTIONS {
             return;
         }
         let asked = self.eligible.steps.get(&step).map(|known| &known.asked);
-        let able = self.able(now, pool, spec.room().millicores);
+        let able = self.agents_accepting_work(now, pool, spec.room().millicores);
         let new = able.filter(|a| asked.is_none_or(|asked| !asked.contains(&a.record.id)));
-        let agents = place::best(now, new, spec, step, ASKED);
+        let agents = place::best_agents(now, new, spec, step, MAX_AGENTS_ASKED);
         if agents.is_empty() {
             return;
         }
-        self.eligible.under_way += 1;
+        self.eligible.open_questions += 1;
         if let Some(known) = self.eligible.steps.get_mut(&step) {
             known.asking = true;
         }
         let count = u32::try_from(agents.len()).unwrap_or(u32::MAX);
-        let before = u32::try_from(self.eligible.under_way).unwrap_or(u32::MAX);
+        let before = u32::try_from(self.eligible.open_questions).unwrap_or(u32::MAX);
         let within = (cost.decision + cost.each * count) * before;
         let about = About::Eligible(Question {
             step,
@@ -136,11 +136,11 @@
             agents,
             within,
         };
-        self.order(now, about, what);
+        self.send_order(now, about, what);
     }
 
     /// Takes in the service's answer, or that there was none.
-    pub(super) fn eligible_told(
+    pub(super) fn take_eligible_answer(
         &mut self,
         now: Now,
         sent: Now,
@@ -152,7 +152,7 @@
             agents,
             valid,
         } = question;
-        self.eligible.under_way = self.eligible.under_way.saturating_sub(1);
+        self.eligible.open_questions = self.eligible.open_questions.saturating_sub(1);
         let Some(known) = self.eligible.steps.get_mut(&step) else {
             return;
         };
--- a/src/core/workload/scheduler/hosts.rs
+++ b/src/core/workload/scheduler/hosts.rs
@@ -13,7 +13,8 @@
 
 use super::{
     About, Agent, Answer, HostState, HostView, MinionId, Name, Now, OrderId, PoolId, Refusal,
-    Scheduler, Wall, What, balance::Counts, demand::Demand, forecast::Turns, presence::Presence,
+    Scheduler, Wall, What, balance::HostCounts, demand::Demand, forecast::Surges,
+    presence::Presence,
 };
 use crate::core::{
     types::{HostId, WaveId},
@@ -22,18 +23,18 @@
 
 /// Delay between lists of the hosts while a decision depends on the next one, and otherwise. Each
 /// list costs.
-const LIST: (Duration, Duration) = (Duration::from_millis(900), Duration::from_secs(4));
+const LIST_DELAY: (Duration, Duration) = (Duration::from_millis(900), Duration::from_secs(4));
 /// Delay from an order that got no answer, or was refused because there were too many, to the next
 /// try.
 const RETRY: Duration = Duration::from_millis(400);
 /// A list that was asked for at least this long after an order shows the order's result.
-const SETTLE: Duration = Duration::from_millis(300);
+const SETTLE_DELAY: Duration = Duration::from_millis(300);
 /// Delay between checks of operations and waves. A busy leader plans a thousand times a second, and
 /// a check visits each host of a wave. This delay is a hundredth of what a maintenance takes, so it
 /// delays none.
-const TEND: Duration = Duration::from_millis(20);
+const OPERATION_CHECK_DELAY: Duration = Duration::from_millis(20);
 /// Delay between checks of what the pools need.
-const LOOK: Duration = Duration::from_millis(100);
+const POOL_CHECK_DELAY: Duration = Duration::from_millis(100);
 
 /// What is known about the hosts, and what is being done with them.
 #[derive(Clone, Debug, Default)]
@@ -44,33 +45,33 @@
     agents: Presence<Name>,
     /// Whether an agent that doesn't answer was missing from the last list, so that the next list
     /// decides.
-    suspected: bool,
+    agent_missing: bool,
     /// Whether an agent has appeared since the last list was asked for.
-    pub(super) newcomer: bool,
+    pub(super) new_agent: bool,
     /// When the last list that was answered was asked for.
-    pub(super) listed: Option<Now>,
+    pub(super) listed_at: Option<Now>,
     /// When the last list was asked for, and whether its answer is outstanding.
-    asked: Option<Now>,
-    asking: bool,
-    pub(super) duties: BTreeMap<HostId, Duty>,
+    asked_at: Option<Now>,
+    list_pending: bool,
+    pub(super) operations: BTreeMap<HostId, Operation>,
     /// When an order about each host was last refused.
-    pub(super) refused: BTreeMap<HostId, Now>,
+    pub(super) refused_at: BTreeMap<HostId, Now>,
     pub(super) demands: BTreeMap<PoolId, Demand>,
     /// Hosts that each pool has beyond what it should keep, as of the last check.
-    pub(super) surplus: Counts,
-    pub(super) waves: BTreeMap<WaveId, WaveTime>,
-    pub(super) turns: Turns,
-    pub(super) looked: Now,
+    pub(super) surplus: HostCounts,
+    pub(super) waves: BTreeMap<WaveId, WaveTimes>,
+    pub(super) surges: Surges,
+    pub(super) balanced_at: Now,
     /// When operations and waves were last checked.
-    tended: Now,
+    checked_at: Now,
     /// When the needs of the pools were last logged.
-    pub(super) logged: Now,
+    pub(super) logged_at: Now,
 }
 
 impl Hosts {
     /// Whether the lists show that an agent that was present at `since` has terminated. `home` is
     /// its host, if one is known.
-    fn is_over(&self, home: Option<&HostId>, name: &Name, since: Now) -> bool {
+    fn is_terminated(&self, home: Option<&HostId>, name: &Name, since: Now) -> bool {
         match home.and_then(|host| self.views.get(host)) {
             Some(view) if view.state == HostState::Unknown => false,
             // The list states explicitly what its host does now.
@@ -82,7 +83,7 @@
 
 /// The times of a wave, by the leader's clock.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct WaveTime {
+pub(super) struct WaveTimes {
     /// Since when this leader handles it.
     pub(super) since: Now,
     /// By when all its hosts have to be maintained.
@@ -91,8 +92,8 @@
 
 /// A maintenance or a move of a host that is in progress.
 #[derive(Clone, Debug)]
-pub(super) struct Duty {
-    pub(super) what: Purpose,
+pub(super) struct Operation {
+    pub(super) purpose: Purpose,
     pub(super) stage: Stage,
     pub(super) since: Now,
     /// The agent that was at the host when the operation began: its name, and its incarnation once
@@ -114,9 +115,9 @@
     /// The order is due. It has to be recorded in the log before it is sent.
     Due,
     /// The record is being committed.
-    Touching,
+    Recording,
     /// The record is in the log; the order can be sent.
-    Touched,
+    Recorded,
     Ordered(OrderId),
     /// The order was carried out, and the host isn't back yet.
     Away,
@@ -124,73 +125,76 @@
 
 impl Scheduler {
     /// Decides what is done with the hosts.
-    pub(super) fn tend_hosts(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
-        self.list_hosts(now, ledger);
-        if self.hosts.listed.is_none() || self.touching.is_blind(now) {
+    pub(super) fn manage_hosts(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
+        self.query_hosts(now, ledger);
+        if self.hosts.listed_at.is_none() || self.touching.is_blind(now) {
             return;
         }
-        if now >= self.hosts.tended + TEND {
-            self.hosts.tended = now;
-            self.tend_duties(now, wall, ledger);
+        if now >= self.hosts.checked_at + OPERATION_CHECK_DELAY {
+            self.hosts.checked_at = now;
+            self.check_operations(now, wall, ledger);
         }
-        if now >= self.hosts.looked + LOOK {
-            let span = now.saturating_sub(self.hosts.looked);
-            self.hosts.looked = now;
+        if now >= self.hosts.balanced_at + POOL_CHECK_DELAY {
+            let span = now.saturating_sub(self.hosts.balanced_at);
+            self.hosts.balanced_at = now;
             self.balance(now, span, ledger);
         }
-        self.send_duties(now);
+        self.send_host_orders(now);
     }
 
     /// Decides the next step for the hosts of waves, and checks how far other operations are.
-    fn tend_duties(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
-        self.welcome(now);
+    fn check_operations(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
+        self.end_finished_operations(now);
         for wave in ledger.waves() {
             if !wave.left.is_empty() {
-                self.tend_wave(now, wall, ledger, wave);
+                self.advance_wave(now, wall, ledger, wave);
             }
         }
-        self.empty(now, ledger);
+        self.stop_long_running(now, ledger);
     }
 
-    pub(super) fn list_hosts(&mut self, now: Now, ledger: &Ledger) {
-        let early = self.hosts.asked.is_some_and(|asked| now < asked + SETTLE);
-        if self.hosts.asking || early {
+    pub(super) fn query_hosts(&mut self, now: Now, ledger: &Ledger) {
+        let early = self
+            .hosts
+            .asked_at
+            .is_some_and(|asked| now < asked + SETTLE_DELAY);
+        if self.hosts.list_pending || early {
             return;
         }
         let doubted = self.agents.troubled().any(|agent| {
             !agent.slots.is_empty()
                 && agent
                     .trouble
-                    .is_some_and(|since| now >= since + super::DOUBT)
+                    .is_some_and(|since| now >= since + super::PROVIDER_QUERY_DELAY)
         });
         let busy = doubted
-            || !self.hosts.duties.is_empty()
+            || !self.hosts.operations.is_empty()
             || ledger.waves().any(|wave| !wave.left.is_empty());
-        let mut duties = self.hosts.duties.values();
+        let mut duties = self.hosts.operations.values();
         let away = duties.any(|duty| duty.stage == Stage::Away);
         // With this shorter pause a host that is back is noticed a third of a second after its
         // agent instead of up to 0.9 s.
-        let pressing = self.hosts.suspected || (self.hosts.newcomer && away);
+        let pressing = self.hosts.agent_missing || (self.hosts.new_agent && away);
         let pause = match (pressing, busy) {
-            (true, _) => SETTLE,
-            (false, true) => LIST.0,
-            (false, false) => LIST.1,
+            (true, _) => SETTLE_DELAY,
+            (false, true) => LIST_DELAY.0,
+            (false, false) => LIST_DELAY.1,
         };
-        if self.hosts.asked.is_none_or(|asked| now >= asked + pause) {
-            self.hosts.asked = Some(now);
-            self.hosts.asking = true;
-            self.hosts.newcomer = false;
-            self.order(now, About::Hosts, What::Hosts);
+        if self.hosts.asked_at.is_none_or(|asked| now >= asked + pause) {
+            self.hosts.asked_at = Some(now);
+            self.hosts.list_pending = true;
+            self.hosts.new_agent = false;
+            self.send_order(now, About::Hosts, What::Hosts);
         }
     }
 
     /// Takes in the provider's answer to a query of the hosts, or that there was none.
-    pub(super) fn hosts_listed(&mut self, now: Now, sent: Now, answer: Answer) {
-        self.hosts.asking = false;
+    pub(super) fn take_host_list(&mut self, now: Now, sent: Now, answer: Answer) {
+        self.hosts.list_pending = false;
         let Answer::Hosts(views) = answer else {
             return;
         };
-        self.hosts.listed = Some(sent);
+        self.hosts.listed_at = Some(sent);
         let hosts = views.iter().map(|view| view.host.clone());
         self.hosts.presence.note(sent, hosts);
         let agents = views.iter().filter_map(|view| view.agent.clone());
@@ -203,15 +207,15 @@
             }
         }
         self.hosts.views = by_host(views);
-        self.judge(sent);
-        self.judge_ordered(now, sent);
+        self.find_terminated(sent);
+        self.settle_ordered(now, sent);
     }
 
     /// Decides from the list what became of hosts whose order was carried out: either their agent
     /// has terminated, or the order did nothing and the agent goes on.
-    fn judge_ordered(&mut self, now: Now, sent: Now) {
+    fn settle_ordered(&mut self, now: Now, sent: Now) {
         let mut untouched = Vec::new();
-        for (host, duty) in &self.hosts.duties {
+        for (host, duty) in &self.hosts.operations {
             let Some(name) = &duty.name else {
                 continue;
             };
@@ -219,9 +223,9 @@
                 continue;
             }
             let view = self.hosts.views.get(host);
-            if self.hosts.is_over(Some(host), name, duty.since) {
-                self.gone.extend(duty.agent.clone());
-            } else if sent >= duty.since + SETTLE
+            if self.hosts.is_terminated(Some(host), name, duty.since) {
+                self.terminated.extend(duty.agent.clone());
+            } else if sent >= duty.since + SETTLE_DELAY
                 && view.is_some_and(|view| view.state == HostState::Up)
             {
                 untouched.push(host.clone());
@@ -229,13 +233,13 @@
         }
         for host in untouched {
             log::info!(host:%; "an order about a host had already been carried out earlier; its agent goes on");
-            self.end_duty(now, &host);
+            self.end_operation(now, &host);
         }
     }
 
     /// Decides from the list which agents that don't answer have terminated.
-    fn judge(&mut self, sent: Now) {
-        self.hosts.suspected = false;
+    fn find_terminated(&mut self, sent: Now) {
+        self.hosts.agent_missing = false;
         for (id, agent) in self.agents.iter() {
             // A list from before the agent stopped answering says nothing about that. A list may
             // also be older than an agent that has yet to answer and has no placed attempts.
@@ -244,23 +248,23 @@
                 continue;
             };
             let name = agent.record.name();
-            if self.hosts.is_over(agent.home.as_ref(), name, since) {
+            if self.hosts.is_terminated(agent.home.as_ref(), name, since) {
                 log::info!(agent:% = id; "the provider's list shows that an agent has terminated");
-                self.gone.insert(id.clone());
+                self.terminated.insert(id.clone());
             } else {
-                self.hosts.suspected |= self.hosts.agents.is_lacked(name, since);
+                self.hosts.agent_missing |= self.hosts.agents.is_lacked(name, since);
             }
         }
     }
 
     /// Ends the operations of hosts that are back or gone.
-    pub(super) fn welcome(&mut self, now: Now) {
-        let Some(listed) = self.hosts.listed else {
+    pub(super) fn end_finished_operations(&mut self, now: Now) {
+        let Some(listed) = self.hosts.listed_at else {
             return;
         };
         let Hosts {
             views,
-            duties,
+            operations: duties,
             presence,
             ..
         } = &self.hosts;
@@ -274,16 +278,16 @@
                     let other = view.agent != duty.name
                         || view.agent.is_none()
                         || there != duty.agent.as_ref();
-                    let settled = listed >= duty.since + SETTLE;
+                    let settled = listed >= duty.since + SETTLE_DELAY;
                     settled && view.state == HostState::Up && other
                 }
-                (None, Stage::Away) => presence.is_gone(host, duty.since + SETTLE),
+                (None, Stage::Away) => presence.is_gone(host, duty.since + SETTLE_DELAY),
                 // The answer to the order shows its result.
                 (_, Stage::Ordered(_)) => false,
                 (Some(view), _) => listed >= duty.since && view.state == HostState::Down,
                 // For a host of a wave that isn't there, the refusal of its order shows that.
                 (None, _) => {
-                    matches!(duty.what, Purpose::Move(_)) && presence.is_gone(host, duty.since)
+                    matches!(duty.purpose, Purpose::Move(_)) && presence.is_gone(host, duty.since)
                 }
             };
             if is_over {
@@ -291,7 +295,7 @@
             }
         }
         for host in over {
-            self.end_duty(now, &host);
+            self.end_operation(now, &host);
         }
     }
 
@@ -301,23 +305,23 @@
     }
 
     /// Whether an order about a host was refused so recently that the next one would be, too.
-    pub(super) fn is_refused(&self, now: Now, host: &HostId) -> bool {
-        let refused = self.hosts.refused.get(host);
-        refused.is_some_and(|at| now < *at + LIST.0)
+    pub(super) fn was_refused(&self, now: Now, host: &HostId) -> bool {
+        let refused = self.hosts.refused_at.get(host);
+        refused.is_some_and(|at| now < *at + LIST_DELAY.0)
     }
 
-    pub(super) fn end_duty(&mut self, now: Now, host: &HostId) {
-        let Some(duty) = self.hosts.duties.remove(host) else {
+    pub(super) fn end_operation(&mut self, now: Now, host: &HostId) {
+        let Some(duty) = self.hosts.operations.remove(host) else {
             return;
         };
-        log::info!(host:%, what:? = duty.what, took:? = now.saturating_sub(duty.since); "an operation on a host has ended");
+        log::info!(host:%, what:? = duty.purpose, took:? = now.saturating_sub(duty.since); "an operation on a host has ended");
         if let Some(agent) = duty.agent.and_then(|id| self.agents.get_mut(&id)) {
             agent.cordoned = false;
             agent.ending = false;
         }
     }
 
-    pub(super) fn begin_duty(&mut self, now: Now, host: &HostId, what: Purpose) {
+    pub(super) fn begin_operation(&mut self, now: Now, host: &HostId, what: Purpose) {
         let name = self.hosts.views.get(host).and_then(|v| v.agent.clone());
         let agent = name.as_ref().and_then(|name| self.agents.named(name));
         let agent = agent.map(|agent| agent.record.id.clone());
@@ -332,26 +336,26 @@
             Purpose::Move(_) if empty => Stage::Due,
             Purpose::Move(_) | Purpose::Maintain(_) => Stage::Emptying,
         };
-        let duty = Duty {
-            what,
+        let duty = Operation {
+            purpose: what,
             stage,
             since: now,
             name,
             agent,
         };
-        self.hosts.duties.insert(host.clone(), duty);
+        self.hosts.operations.insert(host.clone(), duty);
     }
 
-    pub(super) fn send_duties(&mut self, now: Now) {
-        let due = self.hosts.duties.iter();
-        let due = due.filter(|(_, duty)| duty.stage == Stage::Touched);
+    pub(super) fn send_host_orders(&mut self, now: Now) {
+        let due = self.hosts.operations.iter();
+        let due = due.filter(|(_, duty)| duty.stage == Stage::Recorded);
         let due: Vec<_> = due
-            .map(|(host, duty)| (host.clone(), duty.what.clone()))
+            .map(|(host, duty)| (host.clone(), duty.purpose.clone()))
             .collect();
         for (host, what) in due {
             let agent = self
                 .hosts
-                .duties
+                .operations
                 .get(&host)
                 .and_then(|duty| duty.agent.as_ref());
             let agent = agent.and_then(|id| self.agents.get(id));
@@ -368,8 +372,8 @@
                     pool,
                 },
             };
-            let order = self.order(now, About::Duty(host.clone()), order);
-            if let Some(duty) = self.hosts.duties.get_mut(&host) {
+            let order = self.send_order(now, About::Operation(host.clone()), order);
+            if let Some(duty) = self.hosts.operations.get_mut(&host) {
                 duty.stage = Stage::Ordered(order);
                 duty.since = now;
             }
@@ -381,8 +385,13 @@
     /// The provider also answers so if an earlier leader had the same order carried out; it then
     /// does nothing. If that is possible and attempts are placed at the agent, a list has to
     /// confirm that the agent terminated. Until then the attempts count as away.
-    fn end_ordered(&mut self, host: &HostId) {
-        let Some(Duty { what, agent, .. }) = self.hosts.duties.get(host) else {
+    fn end_ordered_agent(&mut self, host: &HostId) {
+        let Some(Operation {
+            purpose: what,
+            agent,
+            ..
+        }) = self.hosts.operations.get(host)
+        else {
             return;
         };
         let Some(id) = agent.clone() else {
@@ -395,19 +404,19 @@
         };
         match self.agents.get_mut(&id) {
             Some(agent) if before && !agent.slots.is_empty() => agent.ending = true,
-            _ => drop(self.gone.insert(id)),
+            _ => drop(self.terminated.insert(id)),
         }
     }
 
     /// Takes in the answer to an order about a host.
-    pub(super) fn duty_answered(
+    pub(super) fn take_host_answer(
         &mut self,
         now: Now,
         order: OrderId,
         host: &HostId,
         answer: &Answer,
     ) {
-        let Some(duty) = self.hosts.duties.get_mut(host) else {
+        let Some(duty) = self.hosts.operations.get_mut(host) else {
             return;
         };
         if duty.stage != Stage::Ordered(order) {
@@ -419,10 +428,10 @@
             Answer::Done { .. } => {
                 duty.stage = Stage::Away;
                 duty.since = now;
-                if let Purpose::Maintain(wave) = duty.what {
+                if let Purpose::Maintain(wave) = duty.purpose {
                     self.maintained.push((wave, host.clone()));
                 }
-                self.end_ordered(host);
+                self.end_ordered_agent(host);
             }
             // An order that got no answer may have been carried out; repeating it shows whether it
             // was.
@@ -435,19 +444,19 @@
                 duty.since = now + RETRY;
             }
             _ => {
-                log::info!(host:%, what:? = duty.what, answer:?; "an order about a host was refused");
-                self.hosts.refused.insert(host.clone(), now);
+                log::info!(host:%, what:? = duty.purpose, answer:?; "an order about a host was refused");
+                self.hosts.refused_at.insert(host.clone(), now);
                 if let (
                     Purpose::Maintain(wave),
                     Answer::Refused {
                         why: Refusal::NotInWave | Refusal::Invalid,
                         ..
                     },
-                ) = (&duty.what, answer)
+                ) = (&duty.purpose, answer)
                 {
                     self.maintained.push((*wave, host.clone()));
                 }
-                self.end_duty(now, host);
+                self.end_operation(now, host);
             }
         }
     }
--- a/src/core/workload/scheduler/jobs.rs
+++ b/src/core/workload/scheduler/jobs.rs
@@ -5,40 +5,46 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use super::{
-    Command, Job, JobId, JobState, Learned, Ledger, Now, Occurrence, PoolId, Ready, Run, Scheduler,
-    StepId, StepIx, StepSpec, TaskIx, Wall,
+    Command, Job, JobId, JobState, Ledger, Now, Occurrence, PoolId, ReadyStep, Run, Scheduler,
+    StepId, StepIx, StepSpec, TaskIx, TaskTimes, Wall,
 };
 
 impl Scheduler {
     /// Makes the tasks of a job ready that may run at once, and records when its later occurrences
     /// are due.
-    pub(super) fn take_job(&mut self, now: Now, wall: Wall, id: JobId, job: &Job) {
+    pub(super) fn open_job(&mut self, now: Now, wall: Wall, id: JobId, job: &Job) {
         for occurrence in 0..job.spec.occurrences() {
             if job.runs.get(&occurrence).is_some_and(Run::is_finished) {
                 continue;
             }
             match job.spec.due(occurrence) {
                 Some(due) if due > wall => {
-                    self.timed.insert((due, id, occurrence));
+                    self.upcoming.insert((due, id, occurrence));
                 }
-                _ => self.open_run(now, id, occurrence, job),
+                _ => self.open_occurrence(now, id, occurrence, job),
             }
         }
     }
 
-    pub(super) fn open_due(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
-        while let Some((due, id, occurrence)) = self.timed.first().copied() {
+    pub(super) fn open_due_occurrences(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
+        while let Some((due, id, occurrence)) = self.upcoming.first().copied() {
             if due > wall {
                 return;
             }
-            self.timed.pop_first();
+            self.upcoming.pop_first();
             if let Some(job) = ledger.job(id).filter(|job| !job.is_over()) {
-                self.open_run(now, id, occurrence, job);
+                self.open_occurrence(now, id, occurrence, job);
             }
         }
     }
 
-    pub(super) fn open_run(&mut self, now: Now, id: JobId, occurrence: Occurrence, job: &Job) {
+    pub(super) fn open_occurrence(
+        &mut self,
+        now: Now,
+        id: JobId,
+        occurrence: Occurrence,
+        job: &Job,
+    ) {
         for step in 0..job.spec.steps.len() {
             let step = StepId {
                 job: id,
@@ -46,13 +52,13 @@
                 step: StepIx::try_from(step).unwrap_or(StepIx::MAX),
             };
             if job.is_open(step) {
-                self.open(now, step, job);
+                self.open_step(now, step, job);
             }
         }
     }
 
     /// Makes the tasks of a step ready that are neither done nor placed.
-    pub(super) fn open(&mut self, now: Now, id: StepId, job: &Job) {
+    pub(super) fn open_step(&mut self, now: Now, id: StepId, job: &Job) {
         let Some(spec) = job.spec.steps.get(usize::from(id.step)) else {
             return;
         };
@@ -64,7 +70,7 @@
             }
             None => (0..spec.tasks).collect(),
         };
-        let mut ready = self.describe(now, id, job, spec, free);
+        let mut ready = self.ready_step(now, id, job, spec, free);
         if let Some(before) = self.ready.get(id) {
             // A task that is proposed to be placed and not committed yet isn't free either.
             ready.free = before.free.clone();
@@ -72,30 +78,30 @@
         self.ready.insert(now, id, ready);
     }
 
-    pub(super) fn describe(
+    pub(super) fn ready_step(
         &self,
         now: Now,
         id: StepId,
         job: &Job,
         spec: &StepSpec,
         free: BTreeSet<TaskIx>,
-    ) -> Ready {
+    ) -> ReadyStep {
         let queue = self.catalog.queue(&job.queue);
-        let accepted = self.accepted.get(&id.job).copied().unwrap_or(now);
+        let accepted = self.accepted_at.get(&id.job).copied().unwrap_or(now);
         let pool = self.pool(job);
         let objective = self.objective(job);
-        let lag = self.lag(&pool, job, objective);
+        let lag = self.expected_lag(&pool, job, objective);
         let remaining = job.spec.remaining(|step| self.estimate(&pool, step) + lag);
         let workspace = job.workspace.clone();
         let cap = workspace.as_ref().map(|name| self.catalog.cap(name));
-        Ready {
+        ReadyStep {
             pool,
             workspace,
-            width: cap.map_or(TaskIx::MAX, |cap| cap.width(&spec.need)),
+            max_parallel: cap.map_or(TaskIx::MAX, |cap| cap.width(&spec.need)),
             spec: spec.clone(),
             free,
             deadline: accepted + objective,
-            left: remaining
+            remaining_time: remaining
                 .get(usize::from(id.step))
                 .copied()
                 .unwrap_or_default(),
@@ -119,8 +125,8 @@
     /// once never counts as late. In a test run with 300 agents and four times the work that a
     /// leader can start, nine tenths of the completed work is in time, and a fifth without this
     /// delay.
-    fn lag(&self, pool: &PoolId, job: &Job, objective: Duration) -> Duration {
-        let learned = self.learned.get(pool).map(Learned::lag);
+    fn expected_lag(&self, pool: &PoolId, job: &Job, objective: Duration) -> Duration {
+        let learned = self.learned.get(pool).map(TaskTimes::lag);
         let lag = learned.unwrap_or_default().mul_f64(self.pressure.level());
         if lag.is_zero() {
             return lag;
@@ -128,12 +134,12 @@
         let steps = u32::try_from(job.spec.steps.len())
             .unwrap_or(u32::MAX)
             .max(1);
-        let spare = objective.saturating_sub(self.chain(pool, job));
+        let spare = objective.saturating_sub(self.critical_path(pool, job));
         lag.min(spare / (steps * 2))
     }
 
     /// About how long the job's longest chain of steps takes.
-    fn chain(&self, pool: &PoolId, job: &Job) -> Duration {
+    fn critical_path(&self, pool: &PoolId, job: &Job) -> Duration {
         let remaining = job.spec.remaining(|step| self.estimate(pool, step));
         remaining.into_iter().max().unwrap_or_default()
     }
@@ -141,7 +147,7 @@
     /// How long a job should take: its longest chain of steps, times the stretch of its queue, plus
     /// the queue's target.
     pub(super) fn objective(&self, job: &Job) -> Duration {
-        let chain = self.chain(&self.pool(job), job);
+        let chain = self.critical_path(&self.pool(job), job);
         let queue = self.catalog.queue(&job.queue);
         let (stretch, target) = queue.map_or((1.0, Duration::ZERO), |q| (q.stretch, q.target));
         chain.mul_f64(stretch.max(1.0)) + target
@@ -159,8 +165,8 @@
         self.ready.forget(id);
         self.eligible.forget(id);
         self.suspects.forget(id);
-        let accepted = self.accepted.remove(&id);
-        self.over.push_back((now, id));
+        let accepted = self.accepted_at.remove(&id);
+        self.ended_jobs.push_back((now, id));
         let Some(job) = ledger.job(id) else {
             return;
         };
@@ -185,7 +191,7 @@
     }
 
     /// The work of a job's batch tasks, in thousandths of a core times milliseconds.
-    pub(super) fn work(&self, job: &Job) -> f64 {
+    pub(super) fn batch_work(&self, job: &Job) -> f64 {
         let pool = self.pool(job);
         let steps = job.spec.steps.iter().filter(|s| !s.lasting);
         let work = steps.map(|s| {
@@ -196,12 +202,12 @@
     }
 
     /// The command to forget the jobs that have been over for the retention time, if there are any.
-    pub(super) fn forget(&mut self, now: Now) -> Option<Command> {
+    pub(super) fn forget_jobs(&mut self, now: Now) -> Option<Command> {
         let retention = self.settings.retention;
         let due = self
-            .over
+            .ended_jobs
             .partition_point(|(since, _)| now >= *since + retention);
-        let jobs: Vec<_> = self.over.drain(..due).map(|(_, id)| id).collect();
+        let jobs: Vec<_> = self.ended_jobs.drain(..due).map(|(_, id)| id).collect();
         (!jobs.is_empty()).then_some(Command::Forget(jobs))
     }
 }
--- a/src/core/workload/scheduler/learned.rs
+++ b/src/core/workload/scheduler/learned.rs
@@ -7,39 +7,39 @@
 use std::time::Duration;
 
 /// The weight of one task in an average.
-const WEIGHT: f64 = 0.05;
+const TASK_WEIGHT: f64 = 0.05;
 /// The weight of one task in the averaged lag. With it the lag follows the load within a second,
 /// over tasks of which a third deviate by as much as the lag itself.
 const LAG_WEIGHT: f64 = 0.01;
 /// How many times its mean deviation is added to the mean lag: the last of several tasks is later
 /// than the mean by twice the mean deviation of one, if the lags are uniformly distributed.
-const JITTERS: f64 = 2.0;
+const JITTER_FACTOR: f64 = 2.0;
 /// Estimates that are off by more than this on average are of no use. The value is the absolute
 /// natural logarithm of the time taken over the estimate; it means that they are off by four
 /// tenths.
-const USELESS: f64 = 0.35;
+const MAX_DEVIATION: f64 = 0.35;
 /// Number of tasks that must have been seen before they are used for anything.
 const LEAST: u32 = 12;
 /// How fast the longest time is forgotten: an outlier is halved after fifty tasks.
-const FORGET: f64 = 0.014;
+const LONGEST_DECAY: f64 = 0.014;
 /// A task is overdue after this many times its estimate, if estimates are reliable,
-const OVERDUE: f64 = 3.0;
+const OVERDUE_FACTOR: f64 = 3.0;
 /// and after this many times the longest time seen, if they aren't.
-const BEYOND: f64 = 1.5;
+const LONGEST_FACTOR: f64 = 1.5;
 /// Added to both limits: the time that a poll, a commit and a start take.
-const SLACK: Duration = Duration::from_millis(700);
+const LIMIT_SLACK: Duration = Duration::from_millis(700);
 /// Tasks shorter than this aren't compared with their estimates: polls and commits take as long.
-const SHORTEST: Duration = Duration::from_millis(150);
+const MIN_COMPARED: Duration = Duration::from_millis(150);
 
 /// What was seen of a pool's tasks.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Learned {
+pub(super) struct TaskTimes {
     count: u32,
     /// Averaged time of a task in seconds.
     mean: f64,
     /// Averaged deviation of estimates: the absolute value of the logarithm of the time taken over
     /// the estimate.
-    off: f64,
+    deviation: f64,
     /// Time of the longest recent task in seconds.
     longest: f64,
     /// Seconds from the decision to start a task until its end is known, minus its estimate,
@@ -49,7 +49,7 @@
     jitter: f64,
 }
 
-impl Learned {
+impl TaskTimes {
     /// Records how long a task took.
     pub(super) fn note(&mut self, took: Duration, estimate: Duration) {
         let took = took.as_secs_f64();
@@ -59,10 +59,10 @@
         };
         self.count = self.count.saturating_add(1);
         // The first tasks have more weight, so that the average is soon meaningful.
-        let weight = WEIGHT.max(1.0 / f64::from(self.count));
+        let weight = TASK_WEIGHT.max(1.0 / f64::from(self.count));
         self.mean += (took - self.mean) * weight;
-        self.off += (off - self.off) * weight;
-        self.longest -= (self.longest - took).max(0.0) * FORGET;
+        self.deviation += (off - self.deviation) * weight;
+        self.longest -= (self.longest - took).max(0.0) * LONGEST_DECAY;
         self.longest = self.longest.max(took);
     }
 
@@ -77,12 +77,12 @@
     /// tasks, learns of their ends and commits both, and a step is complete with the last of its
     /// tasks.
     pub(super) fn lag(&self) -> Duration {
-        Duration::from_secs_f64((self.lag + self.jitter * JITTERS).max(0.0))
+        Duration::from_secs_f64((self.lag + self.jitter * JITTER_FACTOR).max(0.0))
     }
 
     /// Whether estimates are reliable, as far as is known.
     pub(super) fn is_reliable(&self) -> bool {
-        self.count < LEAST || self.off <= USELESS
+        self.count < LEAST || self.deviation <= MAX_DEVIATION
     }
 
     /// About how long a task with this estimate takes.
@@ -103,16 +103,16 @@
     /// elsewhere; `None` while too few tasks were seen.
     pub(super) fn limit(&self, estimate: Duration) -> Option<Duration> {
         let limit = if self.is_reliable() {
-            estimate.mul_f64(OVERDUE)
+            estimate.mul_f64(OVERDUE_FACTOR)
         } else {
-            Duration::from_secs_f64(self.longest * BEYOND)
+            Duration::from_secs_f64(self.longest * LONGEST_FACTOR)
         };
-        (self.count >= LEAST).then_some(limit + SLACK)
+        (self.count >= LEAST).then_some(limit + LIMIT_SLACK)
     }
 
     /// The ratio of the time that a task took to its estimate, if it is meaningful.
     pub(super) fn ratio(&self, took: Duration, estimate: Duration) -> Option<f64> {
-        let telling = self.count >= LEAST && self.is_reliable() && estimate >= SHORTEST;
+        let telling = self.count >= LEAST && self.is_reliable() && estimate >= MIN_COMPARED;
         telling.then(|| took.as_secs_f64() / estimate.as_secs_f64())
     }
 }
--- a/src/core/workload/scheduler/leases.rs
+++ b/src/core/workload/scheduler/leases.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use super::{
-    About, Agent, EXTEND, MinionId, Now, Phase, Placed, STRAY, Scheduler, Settings, Slot, WAIT,
-    WATCH, What,
+    About, Agent, BEST_EFFORT_WAIT, EXTENSION_LIMIT, MAX_ORDER_TRANSIT, MinionId, Now, Phase,
+    Placed, RENEWAL_WAIT, Scheduler, Settings, Slot, What,
 };
 
 /// From one look at an agent for which something is due that can't be done to the next: as often as
@@ -34,7 +34,7 @@
             let extend = !idle
                 && agent
                     .trouble
-                    .is_none_or(|since| now.saturating_sub(since) < EXTEND);
+                    .is_none_or(|since| now.saturating_sub(since) < EXTENSION_LIMIT);
             let until = extend.then(|| agent.grant(now, lease)).flatten();
             let quiet = agent.slots.values().all(|slot| {
                 matches!(
@@ -45,13 +45,13 @@
             let wait = if idle || agent.trouble.is_some() || !quiet {
                 Duration::ZERO
             } else if agent.serves() && agent.has_best_effort() {
-                WATCH
+                BEST_EFFORT_WAIT
             } else if agent.slots.values().all(|slot| slot.lasting) {
-                WAIT.1
+                RENEWAL_WAIT.1
             } else {
-                WAIT.0
+                RENEWAL_WAIT.0
             };
-            let settles = agent.settles(now, self.settings.stop);
+            let settles = agent.settles(now, self.settings.max_stop);
             let wait = settles.map_or(wait, |left| wait.min(left));
             due.push((id.clone(), agent.target(), acked, until, wait));
         }
@@ -67,7 +67,7 @@
                 until,
                 wait,
             };
-            let order = self.order(now, about, what);
+            let order = self.send_order(now, about, what);
             if let Some(agent) = self.agents.get_mut(&agent) {
                 agent.renewal = Some((order, now));
             }
@@ -86,7 +86,7 @@
                 if lapse.is_some_and(|lapse| now >= lapse) {
                     log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "a task's lease has run out at a silent agent");
                     slot.enter(now, Phase::Ended);
-                    self.freed.push(Placed {
+                    self.abandoned.push(Placed {
                         task: *task,
                         attempt: slot.attempt,
                         agent: id.clone(),
@@ -157,7 +157,7 @@
             return None;
         }
         let doubtful = settings.protections.looks && self.is_doubtful(strays);
-        let sought = self.unseen && now < self.heard + settings.silence;
+        let sought = self.unseen && now < self.heard + settings.max_silence;
         let unacked = self.record.acked != self.told;
         let wanted = !self.slots.is_empty() || unacked || doubtful || sought || self.owes_list();
         wanted.then_some(self.next)
@@ -174,7 +174,7 @@
         if !settings.protections.lease {
             return Some(Now::ZERO);
         }
-        let stray = STRAY + settings.lease;
+        let stray = MAX_ORDER_TRANSIT + settings.lease;
         Some(
             self.unanswered
                 .map_or(lease, |sent| lease.max(sent + stray)),
--- a/src/core/workload/scheduler/losses.rs
+++ b/src/core/workload/scheduler/losses.rs
@@ -457,7 +457,7 @@
         }
         // An earlier leader placed it, by its own wall clock, which may differ from ours.
         let since = slot.began.map(|began| wall.saturating_sub(began));
-        let accepted = self.accepted.get(&task.step.job);
+        let accepted = self.accepted_at.get(&task.step.job);
         let age = accepted.map(|accepted| now.saturating_sub(*accepted));
         since.or(age).map_or(known, |since| since.max(known))
     }
@@ -494,8 +494,11 @@
 
     /// Whether an order about its host may have ended an agent.
     fn is_ordered(&self, id: &MinionId) -> bool {
-        self.hosts.duties.values().any(|duty| {
-            let ordered = matches!(duty.stage, Stage::Touched | Stage::Ordered(_) | Stage::Away);
+        self.hosts.operations.values().any(|duty| {
+            let ordered = matches!(
+                duty.stage,
+                Stage::Recorded | Stage::Ordered(_) | Stage::Away
+            );
             ordered && duty.agent.as_ref() == Some(id)
         })
     }
--- a/src/core/workload/scheduler/mod.rs
+++ b/src/core/workload/scheduler/mod.rs
@@ -95,11 +95,11 @@
     caps::Proposed,
     eligible::{Eligible, Question},
     hosts::Hosts,
-    learned::Learned,
+    learned::TaskTimes,
     losses::Losses,
     pressure::Pressure,
     probes::Probes,
-    ready::{Queue, Ready},
+    ready::{ReadyQueue, ReadyStep},
     storm::Departures,
     suspects::Suspects,
     touching::Touching,
@@ -118,43 +118,44 @@
 
 /// Rounds that may be in the log at once without being applied: one is synced to disk while the
 /// next is decided.
-const ROUNDS: usize = 2;
+const MAX_OPEN_ROUNDS: usize = 2;
 /// Maximum number of starts in one round; keeps a log entry far smaller than one message.
-const STARTS: usize = 64;
+const MAX_ROUND_STARTS: usize = 64;
 /// Delay from an answer to the next renewal, while there is time. Ends that come within it are
 /// reported together.
-const GAP: Duration = Duration::from_millis(25);
+const RENEWAL_GAP: Duration = Duration::from_millis(25);
 /// How long a renewal may wait for an end, at an agent that runs batch tasks and at one that runs
 /// only long-running ones. A dead agent is noticed only after this wait, and each poll costs.
-const WAIT: (Duration, Duration) = (Duration::from_millis(700), Duration::from_millis(1500));
+const RENEWAL_WAIT: (Duration, Duration) =
+    (Duration::from_millis(700), Duration::from_millis(1500));
 /// The same wait at an agent that runs best-effort tasks beside latency-sensitive ones: the time
 /// until the effect of a throttle can be measured.
-const WATCH: Duration = Duration::from_millis(600);
+const BEST_EFFORT_WAIT: Duration = Duration::from_millis(600);
 /// Delay between polls of an agent that runs nothing, if it has unacknowledged ends or may run an
 /// attempt that isn't placed there. Each poll costs.
-const ACK_DELAY: Duration = Duration::from_millis(1200);
+const IDLE_POLL_DELAY: Duration = Duration::from_millis(1200);
 /// Delay from a start or stop that got no answer to the next try.
-const RETRY: Duration = Duration::from_millis(200);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Delay from a failed renewal to the next one.
-const RENEW_RETRY: Duration = Duration::from_millis(300);
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// How long renewals may keep failing before they no longer extend the lease, so that it expires
 /// eventually.
-const EXTEND: Duration = Duration::from_millis(1500);
+const EXTENSION_LIMIT: Duration = Duration::from_millis(1500);
 /// Delay from sending a renewal that fails until the provider is asked whether the agent's host is
 /// still there.
-const DOUBT: Duration = Duration::from_millis(300);
+const PROVIDER_QUERY_DELAY: Duration = Duration::from_millis(300);
 /// A start isn't sent within this time before its deadline: it may take as long to arrive, and a
 /// renewal has to follow before the lease that it carries expires.
-const SPARE: Duration = Duration::from_millis(300);
+const START_MARGIN: Duration = Duration::from_millis(300);
 /// How often a start is sent before the attempt is abandoned.
-const TRIES: u32 = 4;
+const MAX_START_TRIES: u32 = 4;
 /// How long an agent gets no new work after it said that it is unwell.
-const UNWELL: Duration = Duration::from_millis(1500);
+const UNWELL_PAUSE: Duration = Duration::from_millis(1500);
 /// The longest that an order without an answer may be in transit, as operators have stated for
 /// their agents.
-const STRAY: Duration = Duration::from_millis(12_500);
+const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(12_500);
 /// Attempts of a task whose queue is no longer in the catalog.
-const ATTEMPTS: u32 = 3;
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 
 /// Time limits of the agents, the provider and the scheduler itself.
 #[derive(Clone, Copy, Debug)]
@@ -162,15 +163,15 @@
     /// The longest lease that an agent accepts.
     pub lease: Duration,
     /// An agent that wasn't heard from for this long gets no new work.
-    pub silence: Duration,
+    pub max_silence: Duration,
     /// Time that must pass between the last order of one leader about a host and the first order of
     /// another.
-    pub holder: Duration,
+    pub handover_delay: Duration,
     /// The longest that an agent takes to carry out a stop.
-    pub stop: Duration,
+    pub max_stop: Duration,
     /// How long a start may still begin at an agent after the agent was notified that its leaving
     /// is known.
-    pub notice: Duration,
+    pub start_window: Duration,
     /// How long a job that is over is kept at least.
     pub retention: Duration,
     /// Which protections are on; for tests.
@@ -181,10 +182,10 @@
     fn default() -> Self {
         Self {
             lease: Duration::from_secs(6),
-            silence: Duration::from_secs(4),
-            holder: Duration::from_secs(3),
-            stop: Duration::from_secs(1),
-            notice: Duration::from_secs(6),
+            max_silence: Duration::from_secs(4),
+            handover_delay: Duration::from_secs(3),
+            max_stop: Duration::from_secs(1),
+            start_window: Duration::from_secs(6),
             retention: Duration::from_secs(180),
             protections: Protections::default(),
         }
@@ -211,7 +212,7 @@
     pub budget: bool,
     /// A task that a predecessor may have told to stop counts as away until an agent has shown that
     /// it wasn't stopped.
-    pub spent: bool,
+    pub inherited_stops: bool,
     /// Agents without placed attempts are polled while something may still run there.
     pub looks: bool,
     /// The loss of a host counts against the tasks that ran there.
@@ -230,7 +231,7 @@
             inherit: true,
             touches: true,
             budget: true,
-            spent: true,
+            inherited_stops: true,
             looks: true,
             suspicion: true,
             caps: true,
@@ -248,11 +249,11 @@
     pub orders: Vec<Order>,
     /// For each attempt placed since the last plan, how long before that its agent was last heard
     /// from.
-    pub ages: Vec<Duration>,
+    pub agent_ages: Vec<Duration>,
     /// For each start sent since the last plan, the time from its decision to sending it.
-    pub delays: Vec<Duration>,
+    pub start_delays: Vec<Duration>,
     /// How many agents and waiting steps were visited to make this plan.
-    pub looks: usize,
+    pub visits: usize,
 }
 
 /// The state of one leader's scheduling decisions.
@@ -260,41 +261,41 @@
 pub struct Scheduler {
     settings: Settings,
     term: Term,
-    began: Now,
+    started_at: Now,
     catalog: Arc<Catalog>,
     agents: Agents,
-    ready: Queue,
+    ready: ReadyQueue,
     /// Occurrences that aren't due yet.
-    timed: BTreeSet<(Wall, JobId, Occurrence)>,
+    upcoming: BTreeSet<(Wall, JobId, Occurrence)>,
     /// Jobs that are over and when this leader learnt of it, ordered by that time.
-    over: VecDeque<(Now, JobId)>,
+    ended_jobs: VecDeque<(Now, JobId)>,
     /// When each job that this leader knows was accepted, by the leader's clock.
-    accepted: Map<JobId, Now>,
+    accepted_at: Map<JobId, Now>,
     /// Orders without an answer so far.
     pending: Map<OrderId, Pending>,
     last_order: OrderId,
     /// Ends that agents reported and that aren't proposed yet.
     ends: BTreeMap<MinionId, Ends>,
     /// Attempts that certainly don't run, to be committed as such.
-    freed: Vec<Placed>,
+    abandoned: Vec<Placed>,
     /// Attempts that may never have started, which a successor has to know.
-    unbegun: Vec<Placed>,
+    not_started: Vec<Placed>,
     /// Incarnations that have terminated, to be committed as such.
-    gone: BTreeSet<MinionId>,
+    terminated: BTreeSet<MinionId>,
     /// Incarnations that a later one of the same agent has replaced and that aren't yet removed.
     replaced: BTreeSet<MinionId>,
     /// Until when a start sent by this leader that got no answer may still be carried out, by
     /// agent. Agents that were taken for lost are included.
     strays: BTreeMap<MinionId, Now>,
     /// Rounds that were proposed and aren't applied yet.
-    rounds: usize,
+    open_rounds: usize,
     /// The attempts that these rounds place, summed by workspace.
     proposed: Proposed,
     hosts: Hosts,
     touching: Touching,
     eligible: Eligible,
     /// How long the tasks of each pool take.
-    learned: BTreeMap<PoolId, Learned>,
+    learned: BTreeMap<PoolId, TaskTimes>,
     pressure: Pressure,
     suspects: Suspects,
     probes: Probes,
@@ -303,10 +304,10 @@
     /// Hosts whose maintenance has begun, by wave, to be committed as such.
     maintained: Vec<(WaveId, HostId)>,
     orders: Vec<Order>,
-    /// See [`Plan::ages`].
-    ages: Vec<Duration>,
-    /// See [`Plan::delays`].
-    delays: Vec<Duration>,
+    /// See [`Plan::agent_ages`].
+    agent_ages: Vec<Duration>,
+    /// See [`Plan::start_delays`].
+    start_delays: Vec<Duration>,
     /// Whether an agent has seen a later leader.
     superseded: bool,
 }
@@ -325,7 +326,7 @@
     Stop(MinionId, TaskId),
     Throttle(MinionId, TaskId),
     /// A stop of an attempt that isn't placed at the agent.
-    Sweep(MinionId),
+    StopUnplaced(MinionId),
     Renew {
         agent: MinionId,
         acked: u64,
@@ -333,7 +334,7 @@
         extends: bool,
     },
     Hosts,
-    Duty(HostId),
+    Operation(HostId),
     /// A question which agents may run a step.
     Eligible(Question),
 }
@@ -352,25 +353,25 @@
         let mut scheduler = Self {
             settings,
             term,
-            began: now,
+            started_at: now,
             catalog,
             agents: Agents::default(),
-            ready: Queue::default(),
-            timed: BTreeSet::new(),
-            over: VecDeque::new(),
-            accepted: Map::default(),
+            ready: ReadyQueue::default(),
+            upcoming: BTreeSet::new(),
+            ended_jobs: VecDeque::new(),
+            accepted_at: Map::default(),
             pending: Map::default(),
             last_order: 0,
             ends: BTreeMap::new(),
-            freed: Vec::new(),
-            unbegun: Vec::new(),
-            gone: BTreeSet::new(),
+            abandoned: Vec::new(),
+            not_started: Vec::new(),
+            terminated: BTreeSet::new(),
             replaced: BTreeSet::new(),
             strays: BTreeMap::new(),
-            rounds: 0,
+            open_rounds: 0,
             proposed: Proposed::default(),
             hosts: Hosts::default(),
-            touching: Touching::new(now, settings.holder, ledger.touched()),
+            touching: Touching::new(now, settings.handover_delay, ledger.touched()),
             eligible: Eligible::default(),
             learned: BTreeMap::new(),
             pressure: Pressure::default(),
@@ -380,8 +381,8 @@
             departures: Departures::default(),
             maintained: Vec::new(),
             orders: Vec::new(),
-            ages: Vec::new(),
-            delays: Vec::new(),
+            agent_ages: Vec::new(),
+            start_delays: Vec::new(),
             superseded: false,
         };
         let mut tenants: Map<SocketAddr, usize> = Map::default();
@@ -400,8 +401,8 @@
                 continue;
             }
             let age = wall.saturating_sub(job.accepted);
-            scheduler.accepted.insert(id, now.saturating_sub(age));
-            scheduler.take_job(now, wall, id, job);
+            scheduler.accepted_at.insert(id, now.saturating_sub(age));
+            scheduler.open_job(now, wall, id, job);
             for (task, evidence) in job.evidence(id) {
                 scheduler.suspect(job, task, evidence);
             }
@@ -411,12 +412,12 @@
     }
 
     /// Switches to another catalog.
-    pub fn declare(&mut self, now: Now, catalog: Arc<Catalog>, ledger: &Ledger) {
+    pub fn set_catalog(&mut self, now: Now, catalog: Arc<Catalog>, ledger: &Ledger) {
         self.catalog = catalog;
         let steps: Vec<_> = self.ready.iter().map(|(step, _)| step).collect();
         for step in steps {
             if let Some(job) = ledger.job(step.job) {
-                self.open(now, step, job);
+                self.open_step(now, step, job);
             }
         }
     }
@@ -433,7 +434,7 @@
     /// heartbeats. If there is nothing to commit, the heartbeat may be acknowledged. So an older
     /// heartbeat that says that the agent is leaving is proposed as well until the leaving is
     /// committed, even if a newer heartbeat with the same content is already being committed.
-    pub fn heard(
+    pub fn heartbeat(
         &mut self,
         now: Now,
         ledger: &Ledger,
@@ -458,7 +459,7 @@
     }
 
     /// Takes in a command that was applied and changed something.
-    pub fn applied(
+    pub fn apply(
         &mut self,
         now: Now,
         wall: Wall,
@@ -467,13 +468,13 @@
         changes: &[Change],
     ) {
         for change in changes {
-            self.change(now, wall, ledger, change);
+            self.apply_change(now, wall, ledger, change);
         }
         if let Command::Round(round) = command {
-            self.rounds = self.rounds.saturating_sub(1);
+            self.open_rounds = self.open_rounds.saturating_sub(1);
             for start in &round.starts {
                 self.proposed.remove(start.task);
-                self.check_start(now, ledger, start);
+                self.confirm_start(now, ledger, start);
             }
             self.touch_applied(now, round);
         }
@@ -485,23 +486,23 @@
             return Plan::default();
         }
         self.agents.stir_due(now);
-        self.open_due(now, wall, ledger);
-        self.settle_replaced(now);
-        let mut gone = std::mem::take(&mut self.gone);
+        self.open_due_occurrences(now, wall, ledger);
+        self.retire_replaced(now);
+        let mut gone = std::mem::take(&mut self.terminated);
         gone.retain(|agent| ledger.agent(agent).is_some());
         let mut commands = self.bury(now, wall, &gone);
         for (wave, host) in std::mem::take(&mut self.maintained) {
             let hosts = vec![host];
             commands.push(Command::Maintained { wave, hosts });
         }
-        commands.extend(self.forget(now));
+        commands.extend(self.forget_jobs(now));
         self.expire_leases(now);
         self.forget_strays(now);
-        self.tend_hosts(now, wall, ledger);
-        if self.rounds < ROUNDS {
-            let round = self.round(now, wall, ledger);
+        self.manage_hosts(now, wall, ledger);
+        if self.open_rounds < MAX_OPEN_ROUNDS {
+            let round = self.build_round(now, wall, ledger);
             if !round.is_empty() {
-                self.rounds += 1;
+                self.open_rounds += 1;
                 commands.push(Command::Round(round));
             }
         }
@@ -513,15 +514,15 @@
         Plan {
             commands,
             orders: std::mem::take(&mut self.orders),
-            ages: std::mem::take(&mut self.ages),
-            delays: std::mem::take(&mut self.delays),
-            looks: self.agents.take_looks() + self.ready.take_looks(),
+            agent_ages: std::mem::take(&mut self.agent_ages),
+            start_delays: std::mem::take(&mut self.start_delays),
+            visits: self.agents.take_looks() + self.ready.take_visits(),
         }
     }
 
     /// Makes the next plan visit all agents instead of only those that have something due. The
     /// decisions are the same; tests compare the two.
-    pub fn look_at_all(&mut self) {
+    pub fn visit_all(&mut self) {
         self.agents.stir_all();
     }
 
@@ -541,12 +542,12 @@
     }
 
     /// How many agents don't answer.
-    pub fn silent(&self) -> usize {
+    pub fn unresponsive(&self) -> usize {
         let agents = self.agents.values();
         agents.filter(|agent| agent.trouble.is_some()).count()
     }
 
-    fn order(&mut self, now: Now, about: About, what: What) -> OrderId {
+    fn send_order(&mut self, now: Now, about: About, what: What) -> OrderId {
         self.last_order += 1;
         let id = self.last_order;
         self.pending.insert(id, Pending { sent: now, about });
--- a/src/core/workload/scheduler/place.rs
+++ b/src/core/workload/scheduler/place.rs
@@ -21,23 +21,23 @@
 };
 
 /// Ends closer together than this count as equal: estimates aren't more precise.
-const GRAIN: Duration = Duration::from_millis(200);
+const END_RESOLUTION: Duration = Duration::from_millis(200);
 
 /// How well an agent suits a task; the highest value is chosen. The fields are compared in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Fit {
     /// Its tasks take about as long as estimated.
-    sound: bool,
+    on_pace: bool,
     /// It runs no task under which a host was lost before.
     safe: bool,
     /// It is on the rack that holds the data.
-    near: bool,
+    near_data: bool,
     /// It runs nothing that the task would slow down or be slowed down by.
-    apart: bool,
+    undisturbed: bool,
     /// For long-running tasks: the agent already runs some.
-    alike: bool,
-    /// By how much the task would delay the time when the agent is empty, in units of [`GRAIN`].
-    later: Reverse<u128>,
+    beside_alike: bool,
+    /// By how much the task would delay the time when the agent is empty, in units of [`END_RESOLUTION`].
+    delay: Reverse<u128>,
     /// Thousandths of a core in use.
     busy: u64,
 }
@@ -79,12 +79,12 @@
     let disturbs = spec.best_effort && agent.serves();
     let disturbed = spec.tail.is_some() && agent.has_best_effort();
     Fit {
-        sound: !agent.is_slow(now),
+        on_pace: !agent.is_slow(now),
         safe: !agent.slots.values().any(|slot| slot.doubtful),
-        near,
-        apart: !disturbs && !disturbed,
-        alike: spec.lasting && agent.slots.values().any(|slot| slot.lasting),
-        later: Reverse(later.as_millis() / GRAIN.as_millis()),
+        near_data: near,
+        undisturbed: !disturbs && !disturbed,
+        beside_alike: spec.lasting && agent.slots.values().any(|slot| slot.lasting),
+        delay: Reverse(later.as_millis() / END_RESOLUTION.as_millis()),
         busy: agent.used.millicores,
     }
 }
@@ -95,12 +95,12 @@
 /// agents, five of six visits during a surge were of that kind (counted in a test run). Only the
 /// agent that got a task suits the next one differently than before.
 #[derive(Debug)]
-pub(super) struct Choice {
+pub(super) struct AgentRanking {
     // Equal agents are ordered by id, so that the choice is the same in every run.
     agents: BinaryHeap<(Fit, MinionId)>,
 }
 
-impl Choice {
+impl AgentRanking {
     /// Ranks those of the agents that may run a task of the step.
     pub(super) fn new<'a>(
         now: Now,
@@ -129,7 +129,7 @@
 }
 
 /// The agents that suit a step best and have room for a task of it, at most `most`.
-pub(super) fn best<'a>(
+pub(super) fn best_agents<'a>(
     now: Now,
     agents: impl Iterator<Item = &'a Agent>,
     spec: &StepSpec,
@@ -152,21 +152,21 @@
 ) -> Option<Vec<MinionId>> {
     let anywhere = |_: &Agent| true;
     if !spec.one_rack {
-        return seat(agents, spec, step, anywhere);
+        return seat_gang(agents, spec, step, anywhere);
     }
     let mut racks: Vec<&RackId> = agents.values().filter_map(|a| a.record.rack()).collect();
     racks.sort_unstable();
     racks.dedup();
     let on_one = racks.into_iter().find_map(|rack| {
-        seat(agents, spec, step, |agent| {
+        seat_gang(agents, spec, step, |agent| {
             agent.record.rack() == Some(rack)
         })
     });
-    on_one.or_else(|| seat(agents, spec, step, anywhere))
+    on_one.or_else(|| seat_gang(agents, spec, step, anywhere))
 }
 
 /// Chooses agents for all members of a gang, or returns none.
-fn seat(
+fn seat_gang(
     agents: &BTreeMap<MinionId, &Agent>,
     spec: &StepSpec,
     step: StepId,
--- a/src/core/workload/scheduler/pressure.rs
+++ b/src/core/workload/scheduler/pressure.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::{GAP, PoolId, Scheduler, learned::Learned};
+use super::{PoolId, RENEWAL_GAP, Scheduler, learned::TaskTimes};
 
 /// The time over which the busy part is averaged: some turns of a full leader, and less than it takes
 /// a rush to rise.
@@ -60,8 +60,8 @@
 
     /// From an answer of an agent of a pool to the next renewal there.
     pub(super) fn gap(&self, pool: &PoolId) -> Duration {
-        let mean = self.learned.get(pool).map(Learned::mean);
-        let longest = mean.unwrap_or_default().mul_f64(LONGEST).max(GAP);
-        GAP + (longest - GAP).mul_f64(self.pressure.level())
+        let mean = self.learned.get(pool).map(TaskTimes::mean);
+        let longest = mean.unwrap_or_default().mul_f64(LONGEST).max(RENEWAL_GAP);
+        RENEWAL_GAP + (longest - RENEWAL_GAP).mul_f64(self.pressure.level())
     }
 }
--- a/src/core/workload/scheduler/probes.rs
+++ b/src/core/workload/scheduler/probes.rs
@@ -18,8 +18,8 @@
 };
 
 use super::{
-    Agent, Ledger, MinionId, Now, Placed, PoolId, STARTS, Scheduler, Slot, StepId, StepSpec,
-    TaskId, agent::LATELY, place, starts::attempts, suspects::Held, unit::Unit,
+    Agent, Ledger, MAX_ROUND_STARTS, MinionId, Now, Placed, PoolId, Scheduler, Slot, StepId,
+    StepSpec, TaskId, agent::LATELY, place, starts::decided_attempts, suspects::Held, unit::Unit,
 };
 use crate::core::workload::suspicion::Evidence;
 
@@ -93,7 +93,8 @@
             let Some(spec) = ready.map(|ready| ready.spec.clone()) else {
                 continue;
             };
-            if !spec.gang && !self.suspects.is_failing(step.job) && starts.len() < STARTS {
+            if !spec.gang && !self.suspects.is_failing(step.job) && starts.len() < MAX_ROUND_STARTS
+            {
                 self.start_suspects(now, ledger, step, &spec, starts);
             }
         }
@@ -125,7 +126,7 @@
             (Reverse((own.hosts, *weight, *hosts)), *task)
         });
         for (held, task) in tasks {
-            if !self.may_start(ledger, step, spec, 1) {
+            if !self.cap_allows(ledger, step, spec, 1) {
                 return;
             }
             let unit = self.suspects.unit(task, spec.lasting);
@@ -140,7 +141,7 @@
             let Some(agent) = agent else {
                 return;
             };
-            let attempt = attempts(ledger, task) + 1;
+            let attempt = decided_attempts(ledger, task) + 1;
             let placed = Placed {
                 task,
                 attempt,
@@ -154,7 +155,7 @@
     /// does little harm.
     fn apart(&self, now: Now, sought: &Sought<'_>, task: TaskId) -> Option<MinionId> {
         let Sought { pool, step, spec } = *sought;
-        let able = self.able(now, pool, spec.room().millicores);
+        let able = self.agents_accepting_work(now, pool, spec.room().millicores);
         let able = able.filter(|agent| {
             self.is_eligible(now, step, agent) && place::may_run(agent, spec, step)
         });
@@ -227,7 +228,9 @@
     fn log_beside(&self, now: Now, sought: &Sought<'_>, unit: Unit, since: Now, beside: &MinionId) {
         let Sought { pool, step, spec } = *sought;
         let agents = || self.agents.with_room(pool, 0);
-        let able = agents().filter(|agent| self.is_able(now, agent)).count();
+        let able = agents()
+            .filter(|agent| self.can_accept_work(now, agent))
+            .count();
         let could = agents().filter(|agent| place::could_run(agent, spec, step));
         let blocked = could.filter(|agent| !self.will_be_alone(agent, unit));
         let blocked = blocked.count();
@@ -249,7 +252,7 @@
         let Some(agent) = self.agents.get(probe) else {
             return false;
         };
-        let free = self.is_able(now, agent)
+        let free = self.can_accept_work(now, agent)
             && self.is_alone(agent, unit)
             && place::may_run(agent, spec, step);
         let lives = now <= agent.heard + LATELY;
@@ -331,7 +334,7 @@
         let free = free.filter_map(|(id, _)| self.agents.get(id));
         let free = free.filter(|agent| {
             agent.record.pool == *pool
-                && self.is_able(now, agent)
+                && self.can_accept_work(now, agent)
                 && self.could_begin(now, agent, sought, unit)
         });
         // Whose turn it is next.
@@ -353,7 +356,7 @@
         if full && patient {
             return None;
         }
-        let able = self.able(now, pool, 0);
+        let able = self.agents_accepting_work(now, pool, 0);
         let able = able.filter(|agent| {
             // Whoever runs nothing though units wait for long is of no use to others now.
             (!full || agent.slots.is_empty()) && self.could_begin(now, agent, sought, unit)
@@ -409,7 +412,7 @@
             // What runs there goes on, but nothing that waits for it would ever start there.
             let agent = agent.filter(|agent| {
                 let busy = current.is_some() && !agent.slots.is_empty();
-                self.is_able(now, agent) || (busy && agent.is_well() && !agent.cordoned)
+                self.can_accept_work(now, agent) || (busy && agent.is_well() && !agent.cordoned)
             });
             agent.is_some_and(|agent| current.is_some() || waiting.contains(&agent.record.pool))
         });
--- a/src/core/workload/scheduler/ready.rs
+++ b/src/core/workload/scheduler/ready.rs
@@ -26,12 +26,12 @@
 
 /// The tasks of a step that may be started.
 #[derive(Clone, Debug)]
-pub(super) struct Ready {
+pub(super) struct ReadyStep {
     /// The pool whose agents may run them.
     pub(super) pool: PoolId,
     /// The workspace of their job, and how many of the step's tasks its cap lets run at once.
     pub(super) workspace: Option<WorkspaceId>,
-    pub(super) width: TaskIx,
+    pub(super) max_parallel: TaskIx,
     /// The step.
     pub(super) spec: StepSpec,
     /// The tasks that wait to be started.
@@ -39,7 +39,7 @@
     /// When their job should be complete.
     pub(super) deadline: Now,
     /// About how long it takes from the start of this step to the end of the job.
-    pub(super) left: Duration,
+    pub(super) remaining_time: Duration,
     /// The queue's priority.
     pub(super) priority: u32,
     /// What a question where the tasks may run costs, if one has to be asked.
@@ -58,15 +58,15 @@
 /// Classes of steps, which go before deadlines in the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
-    Lasting,
+    LongRunning,
     InTime,
     Late,
 }
 
-impl Ready {
+impl ReadyStep {
     fn rank(&self, now: Now, step: StepId) -> Rank {
         let class = if self.spec.lasting {
-            Class::Lasting
+            Class::LongRunning
         } else if self.lapse().is_some_and(|lapse| now <= lapse) {
             Class::InTime
         } else {
@@ -82,7 +82,7 @@
 
     /// The latest time at which its job can still be in time; `None` if it never could.
     fn lapse(&self) -> Option<Now> {
-        self.deadline.checked_sub(self.left)
+        self.deadline.checked_sub(self.remaining_time)
     }
 
     /// Thousandths of a core that its free tasks wait for.
@@ -100,86 +100,86 @@
 
 /// All steps with tasks that may be started.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Queue {
+pub(super) struct ReadyQueue {
     steps: BTreeMap<StepId, Entry>,
-    pools: BTreeMap<PoolId, Line>,
+    pools: BTreeMap<PoolId, PoolQueue>,
     /// Thousandths of a core that the free tasks of each workspace wait for, in all pools.
     millicores: BTreeMap<WorkspaceId, u64>,
     /// When steps that can still be in time no longer can.
-    lapses: BTreeSet<(Now, StepId)>,
+    latest_starts: BTreeSet<(Now, StepId)>,
     /// How many steps were visited.
-    looks: Cell<usize>,
+    visits: Cell<usize>,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    ready: Ready,
+    ready: ReadyStep,
     /// Its position in the line of its pool.
     rank: Rank,
 }
 
 /// The steps of a pool that have free tasks.
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct PoolQueue {
     ranks: BTreeSet<Rank>,
     /// The number of steps by the thousandths of a core that each of their tasks takes.
-    rooms: BTreeMap<u64, usize>,
+    task_sizes: BTreeMap<u64, usize>,
     /// The number of steps by how many hosts each needs, including steps without free tasks.
     spreads: BTreeMap<usize, usize>,
-    waiting: Waiting,
+    waiting: WaitingLoad,
     /// The part of `waiting` that belongs to each workspace.
-    held: BTreeMap<WorkspaceId, Waiting>,
+    by_workspace: BTreeMap<WorkspaceId, WaitingLoad>,
 }
 
 /// What the free tasks of a pool wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Waiting {
+pub(super) struct WaitingLoad {
     /// Thousandths of a core of all tasks.
     pub(super) all: u64,
     /// Thousandths of a core of batch tasks, which finish by themselves.
-    pub(super) short: u64,
+    pub(super) batch: u64,
     /// The most hosts that any step needs to keep its tasks apart, including a step whose tasks all
     /// run.
     pub(super) spread: usize,
 }
 
-impl Waiting {
-    fn add(&mut self, ready: &Ready) {
+impl WaitingLoad {
+    fn add(&mut self, ready: &ReadyStep) {
         self.all += ready.millicores();
         if !ready.spec.lasting {
-            self.short += ready.millicores();
+            self.batch += ready.millicores();
         }
     }
 
-    fn take(&mut self, ready: &Ready) {
+    fn take(&mut self, ready: &ReadyStep) {
         self.all -= ready.millicores();
         if !ready.spec.lasting {
-            self.short -= ready.millicores();
+            self.batch -= ready.millicores();
         }
     }
 }
 
-impl Line {
-    fn waiting(&self) -> Waiting {
+impl PoolQueue {
+    fn waiting(&self) -> WaitingLoad {
         let spread = self.spreads.keys().next_back().copied();
-        Waiting {
+        WaitingLoad {
             spread: spread.unwrap_or_default(),
             ..self.waiting
         }
     }
 }
 
-impl Queue {
-    pub(super) fn get(&self, step: StepId) -> Option<&Ready> {
+impl ReadyQueue {
+    pub(super) fn get(&self, step: StepId) -> Option<&ReadyStep> {
         self.steps.get(&step).map(|entry| &entry.ready)
     }
 
     /// Adds a step, replacing what was known of it.
-    pub(super) fn insert(&mut self, now: Now, step: StepId, ready: Ready) {
+    pub(super) fn insert(&mut self, now: Now, step: StepId, ready: ReadyStep) {
         self.remove(step);
         let rank = ready.rank(now, step);
         if let Some(lapse) = ready.lapse().filter(|_| rank.class == Class::InTime) {
-            self.lapses.insert((lapse, step));
+            self.latest_starts.insert((lapse, step));
         }
         let line = self.pools.entry(ready.pool.clone()).or_default();
         *line.spreads.entry(spread(&ready)).or_default() += 1;
@@ -219,8 +219,12 @@
 
     /// Moves steps that can no longer be in time behind those that can.
     pub(super) fn lapse(&mut self, now: Now) {
-        while self.lapses.first().is_some_and(|(lapse, _)| *lapse < now) {
-            let Some((_, step)) = self.lapses.pop_first() else {
+        while self
+            .latest_starts
+            .first()
+            .is_some_and(|(lapse, _)| *lapse < now)
+        {
+            let Some((_, step)) = self.latest_starts.pop_first() else {
                 return;
             };
             let Some(mut entry) = self.steps.remove(&step) else {
@@ -242,8 +246,8 @@
     }
 
     /// The fewest thousandths of a core that a free task of a pool takes.
-    pub(super) fn least(&self, pool: &PoolId) -> Option<u64> {
-        self.pools.get(pool)?.rooms.keys().next().copied()
+    pub(super) fn min_millicores(&self, pool: &PoolId) -> Option<u64> {
+        self.pools.get(pool)?.task_sizes.keys().next().copied()
     }
 
     /// The pools with free tasks.
@@ -253,14 +257,14 @@
     }
 
     /// What the steps of each pool wait for.
-    pub(super) fn waiting(&self) -> impl Iterator<Item = (&PoolId, Waiting)> {
+    pub(super) fn waiting(&self) -> impl Iterator<Item = (&PoolId, WaitingLoad)> {
         self.pools.iter().map(|(pool, line)| (pool, line.waiting()))
     }
 
     /// What the steps of each workspace wait for in a pool.
-    pub(super) fn held(&self, pool: &PoolId) -> impl Iterator<Item = (&WorkspaceId, Waiting)> {
+    pub(super) fn held(&self, pool: &PoolId) -> impl Iterator<Item = (&WorkspaceId, WaitingLoad)> {
         let held = self.pools.get(pool).into_iter();
-        let held = held.flat_map(|line| &line.held);
+        let held = held.flat_map(|line| &line.by_workspace);
         held.map(|(workspace, held)| (workspace, *held))
     }
 
@@ -270,14 +274,14 @@
     }
 
     /// All steps with ready tasks, including steps whose tasks are all placed.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (StepId, &Ready)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (StepId, &ReadyStep)> {
         let steps = self.steps.iter().inspect(|_| self.look());
         steps.map(|(id, entry)| (*id, &entry.ready))
     }
 
     /// How many steps were visited since the last call.
-    pub(super) fn take_looks(&self) -> usize {
-        self.looks.take()
+    pub(super) fn take_visits(&self) -> usize {
+        self.visits.take()
     }
 
     /// Changes which tasks of a step are free. Returns whether the step is known.
@@ -297,43 +301,49 @@
             return;
         };
         if let Some(lapse) = ready.lapse() {
-            self.lapses.remove(&(lapse, step));
+            self.latest_starts.remove(&(lapse, step));
         }
         self.leave(&ready, rank);
         if let Some(line) = self.pools.get_mut(&ready.pool) {
-            less(&mut line.spreads, spread(&ready));
+            decrement(&mut line.spreads, spread(&ready));
         }
     }
 
     /// Adds a step to the line of its pool, if it has free tasks.
-    fn enter(&mut self, ready: &Ready, rank: Rank) {
+    fn enter(&mut self, ready: &ReadyStep, rank: Rank) {
         if ready.free.is_empty() {
             return;
         }
         let line = self.pools.entry(ready.pool.clone()).or_default();
         line.ranks.insert(rank);
-        *line.rooms.entry(ready.spec.room().millicores).or_default() += 1;
+        *line
+            .task_sizes
+            .entry(ready.spec.room().millicores)
+            .or_default() += 1;
         line.waiting.add(ready);
         if let Some(workspace) = &ready.workspace {
-            line.held.entry(workspace.clone()).or_default().add(ready);
+            line.by_workspace
+                .entry(workspace.clone())
+                .or_default()
+                .add(ready);
             *self.millicores.entry(workspace.clone()).or_default() += ready.millicores();
         }
     }
 
-    /// Undoes [`Queue::enter`].
-    fn leave(&mut self, ready: &Ready, rank: Rank) {
+    /// Undoes [`ReadyQueue::enter`].
+    fn leave(&mut self, ready: &ReadyStep, rank: Rank) {
         let Some(line) = self.pools.get_mut(&ready.pool) else {
             return;
         };
         if !line.ranks.remove(&rank) {
             return;
         }
-        less(&mut line.rooms, ready.spec.room().millicores);
+        decrement(&mut line.task_sizes, ready.spec.room().millicores);
         line.waiting.take(ready);
         let Some(workspace) = &ready.workspace else {
             return;
         };
-        if let Some(held) = line.held.get_mut(workspace) {
+        if let Some(held) = line.by_workspace.get_mut(workspace) {
             held.take(ready);
         }
         if let Some(millicores) = self.millicores.get_mut(workspace) {
@@ -342,12 +352,12 @@
     }
 
     fn look(&self) {
-        self.looks.set(self.looks.get() + 1);
+        self.visits.set(self.visits.get() + 1);
     }
 }
 
 /// Decrements the count of a key, and removes it at zero.
-fn less<K: Ord>(counts: &mut BTreeMap<K, usize>, key: K) {
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, usize>, key: K) {
     if let btree_map::Entry::Occupied(mut count) = counts.entry(key) {
         *count.get_mut() -= 1;
         if *count.get() == 0 {
@@ -357,11 +367,11 @@
 }
 
 /// The number of hosts that a step needs to keep its tasks apart, plus one to move a task to.
-fn spread(ready: &Ready) -> usize {
+fn spread(ready: &ReadyStep) -> usize {
     let spec = &ready.spec;
     // Batch tasks can run one after the other.
     let apart = spec.per_host.filter(|_| spec.lasting);
-    let tasks = spec.tasks.min(ready.width);
+    let tasks = spec.tasks.min(ready.max_parallel);
     let apart = apart.map_or(1, |most| tasks.div_ceil(most.max(1)));
     usize::try_from(apart)
         .unwrap_or(usize::MAX)
--- a/src/core/workload/scheduler/starts.rs
+++ b/src/core/workload/scheduler/starts.rs
@@ -10,9 +10,10 @@
 };
 
 use super::{
-    ATTEMPTS, About, Agent, Ends, GAP, Ledger, MinionId, Name, Now, Phase, Placed, PoolId, Round,
-    STARTS, Scheduler, Slot, StartOrder, StepId, StepSpec, TaskId, Wall, What,
-    place::{self, Choice},
+    About, Agent, DEFAULT_MAX_ATTEMPTS, Ends, Ledger, MAX_ROUND_STARTS, MinionId, Name, Now, Phase,
+    Placed, PoolId, RENEWAL_GAP, Round, Scheduler, Slot, StartOrder, StepId, StepSpec, TaskId,
+    Wall, What,
+    place::{self, AgentRanking},
 };
 use crate::core::{
     types::Resources,
@@ -21,36 +22,36 @@
 
 /// A start that is sent later than this after its decision is logged. A commit and a plan take a
 /// tenth of this time.
-const PROMPT: Duration = Duration::from_millis(500);
+const LATE_START_DELAY: Duration = Duration::from_millis(500);
 
 impl Scheduler {
     /// What one round commits: ended and abandoned attempts, and starts of ready tasks.
-    pub(super) fn round(&mut self, now: Now, wall: Wall, ledger: &Ledger) -> Round {
+    pub(super) fn build_round(&mut self, now: Now, wall: Wall, ledger: &Ledger) -> Round {
         let ends: Vec<_> = std::mem::take(&mut self.ends).into_values().collect();
-        let failed = self.failed(ledger, &ends);
+        let failed = self.failed_jobs(ledger, &ends);
         let cleared = self.clear_suspects(now, ledger);
         self.review_probes(now);
         let mut round = Round {
             ends,
-            freed: std::mem::take(&mut self.freed),
+            freed: std::mem::take(&mut self.abandoned),
             failed,
             starts: Vec::new(),
             touch: self.touch(now),
             convicted: self.suspects.take_convicted(),
             cleared,
-            unbegun: std::mem::take(&mut self.unbegun),
+            unbegun: std::mem::take(&mut self.not_started),
             at: wall,
         };
         self.ready.lapse(now);
         self.agents.index();
         for pool in self.ready.pools() {
-            self.fill(now, ledger, &pool, &mut round.starts);
+            self.fill_pool(now, ledger, &pool, &mut round.starts);
         }
         round
     }
 
     /// The jobs that fail for good because of these ends.
-    pub(super) fn failed(&self, ledger: &Ledger, ends: &[Ends]) -> Vec<JobId> {
+    pub(super) fn failed_jobs(&self, ledger: &Ledger, ends: &[Ends]) -> Vec<JobId> {
         let mut counts: BTreeMap<TaskId, u32> = BTreeMap::new();
         let all = ends.iter().flat_map(|ends| &ends.ends);
         for end in all.filter(|end| end.how == Ending::Failed) {
@@ -66,7 +67,7 @@
                 job.task(*task)?.failures
             };
             let queue = self.catalog.queue(&job.queue);
-            let most = queue.map_or(ATTEMPTS, |queue| queue.attempts.max(1));
+            let most = queue.map_or(DEFAULT_MAX_ATTEMPTS, |queue| queue.attempts.max(1));
             (!spec.lasting && before + count >= most).then_some(task.step.job)
         };
         let failed: BTreeSet<_> = counts.iter().filter_map(hopeless).collect();
@@ -74,7 +75,7 @@
     }
 
     /// Starts ready tasks of a pool while its agents have room.
-    pub(super) fn fill(
+    pub(super) fn fill_pool(
         &mut self,
         now: Now,
         ledger: &Ledger,
@@ -88,8 +89,8 @@
         let mut widest: Option<Resources> = None;
         let mut last = None;
         let mut apart = self.apart_in(ledger, pool);
-        while starts.len() < STARTS
-            && let Some(least) = self.ready.least(pool)
+        while starts.len() < MAX_ROUND_STARTS
+            && let Some(least) = self.ready.min_millicores(pool)
             && widest.is_none_or(|widest| least <= widest.millicores)
         {
             let Some(rank) = self.ready.next(pool, last) else {
@@ -127,7 +128,7 @@
                     && self.suspects.unit(*task, spec.lasting).is_none()
             });
             let tasks: Vec<_> = tasks.collect();
-            if tasks.is_empty() || !self.may_start(ledger, step, &spec, 1) {
+            if tasks.is_empty() || !self.cap_allows(ledger, step, &spec, 1) {
                 self.ask_eligible(now, pool, step, &spec);
                 continue;
             }
@@ -135,17 +136,17 @@
             if found.is_some_and(|job| job.state == JobState::Queued && apart.is_full(job)) {
                 continue;
             }
-            let able = self.able(now, pool, spec.room().millicores);
+            let able = self.agents_accepting_work(now, pool, spec.room().millicores);
             let able = able.filter(|agent| !asked || self.is_eligible(now, step, agent));
             let able =
                 able.filter(|agent| spec.lasting || self.may_share(ledger, &apart, agent, job));
-            let mut choice = Choice::new(now, able, &spec, step);
+            let mut choice = AgentRanking::new(now, able, &spec, step);
             for task in tasks {
-                if !self.may_start(ledger, step, &spec, 1) {
+                if !self.cap_allows(ledger, step, &spec, 1) {
                     break;
                 }
                 let Some(agent) = choice.take() else {
-                    widest = Some(self.widest(now, pool));
+                    widest = Some(self.largest_free(now, pool));
                     if let Some(job) = found {
                         apart.note_full(job);
                     }
@@ -153,7 +154,7 @@
                 };
                 let placed = Placed {
                     task,
-                    attempt: attempts(ledger, task) + 1,
+                    attempt: decided_attempts(ledger, task) + 1,
                     agent: agent.clone(),
                 };
                 self.propose(now, ledger, &spec, placed, starts);
@@ -181,12 +182,12 @@
         if ready.free.len() != usize::try_from(spec.tasks).unwrap_or(0) {
             return;
         }
-        if !self.may_start(ledger, step, spec, spec.tasks) {
+        if !self.cap_allows(ledger, step, spec, spec.tasks) {
             return;
         }
         let first = TaskId { step, task: 0 };
         let unit = self.suspects.unit(first, spec.lasting);
-        let able = self.able(now, &ready.pool, spec.room().millicores);
+        let able = self.agents_accepting_work(now, &ready.pool, spec.room().millicores);
         let able = able.filter(|agent| self.is_eligible(now, step, agent));
         // The members of a gang run together, so a suspected gang has its hosts to itself.
         let able = able.filter(|agent| unit.is_none() || agent.slots.is_empty());
@@ -195,7 +196,10 @@
             return;
         };
         let tasks = (0..spec.tasks).map(|task| TaskId { step, task });
-        let last = tasks.clone().map(|task| attempts(ledger, task)).max();
+        let last = tasks
+            .clone()
+            .map(|task| decided_attempts(ledger, task))
+            .max();
         let attempt = last.unwrap_or_default() + 1;
         for (task, agent) in tasks.zip(seats) {
             if let Some(unit) = unit {
@@ -219,10 +223,10 @@
         starts: &mut Vec<Placed>,
     ) {
         let task = placed.task;
-        self.claim(ledger, task, spec);
+        self.reserve(ledger, task, spec);
         self.ready.take(task.step, task.task);
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
-            self.ages.push(now.saturating_sub(agent.heard));
+            self.agent_ages.push(now.saturating_sub(agent.heard));
             let mut slot = Slot::new(spec, placed.attempt, Phase::Proposed, now);
             slot.doubtful = self.suspects.get(task).is_some();
             slot.probed = self.probes.contains(&placed.agent);
@@ -235,11 +239,13 @@
     /// The largest free amount of each resource at any agent of a pool that may get new work and
     /// has room for the task that takes the fewest cores. Free room only shrinks while a round is
     /// filled, so a task that needs more than this fits nowhere.
-    fn widest(&self, now: Now, pool: &PoolId) -> Resources {
-        let Some(least) = self.ready.least(pool) else {
+    fn largest_free(&self, now: Now, pool: &PoolId) -> Resources {
+        let Some(least) = self.ready.min_millicores(pool) else {
             return Resources::default();
         };
-        let able = self.able(now, pool, least).map(Agent::free);
+        let able = self
+            .agents_accepting_work(now, pool, least)
+            .map(Agent::free);
         able.fold(Resources::default(), |widest, free| Resources {
             millicores: widest.millicores.max(free.millicores),
             memory: widest.memory.max(free.memory),
@@ -249,26 +255,31 @@
 
     /// The agents of a pool that may get new work and have at least `least` thousandths of a core
     /// free.
-    pub(super) fn able(&self, now: Now, pool: &PoolId, least: u64) -> impl Iterator<Item = &Agent> {
+    pub(super) fn agents_accepting_work(
+        &self,
+        now: Now,
+        pool: &PoolId,
+        least: u64,
+    ) -> impl Iterator<Item = &Agent> {
         let agents = self.agents.with_room(pool, least);
         agents.filter(move |agent| {
-            self.is_able(now, agent) && !self.probes.contains(&agent.record.id)
+            self.can_accept_work(now, agent) && !self.probes.contains(&agent.record.id)
         })
     }
 
     /// Whether an agent may get new work.
-    pub(super) fn is_able(&self, now: Now, agent: &Agent) -> bool {
+    pub(super) fn can_accept_work(&self, now: Now, agent: &Agent) -> bool {
         !agent.record.leaving
             && !agent.unseen
             && !agent.cordoned
             && agent.trouble.is_none()
-            && !self.is_unsettled(agent)
+            && !self.has_unsettled_predecessor(agent)
             && agent.aside <= now
-            && now < agent.heard + self.settings.silence
+            && now < agent.heard + self.settings.max_silence
     }
 
     /// Whether an agent may still run what was ordered of an earlier incarnation.
-    fn is_unsettled(&self, agent: &Agent) -> bool {
+    fn has_unsettled_predecessor(&self, agent: &Agent) -> bool {
         // This is checked for each agent of a pool, and there is hardly ever a replaced
         // incarnation.
         if self.replaced.is_empty() {
@@ -311,7 +322,7 @@
             self.withdraw_start(now, &id, task);
         }
         for (id, to, task, attempt, until) in due {
-            let Some((payload, checkpoint)) = content(ledger, task) else {
+            let Some((payload, checkpoint)) = start_content(ledger, task) else {
                 continue;
             };
             let grant = self.eligible.grant(now, task.step, &id);
@@ -325,9 +336,9 @@
                 checkpoint,
             };
             let about = About::Start(id.clone(), task);
-            let order = self.order(now, about, What::Start(Box::new(start)));
+            let order = self.send_order(now, about, What::Start(Box::new(start)));
             let pool = self.agents.get(&id).map(|agent| &agent.record.pool);
-            let gap = pool.map_or(GAP, |pool| self.gap(pool));
+            let gap = pool.map_or(RENEWAL_GAP, |pool| self.gap(pool));
             let Some(agent) = self.agents.get_mut(&id) else {
                 continue;
             };
@@ -335,16 +346,20 @@
             // start grants may expire before a renewal that gets no answer is repeated. So a
             // renewal is sent at once while there is time.
             let soon = agent.is_due_soon(now, settings.lease);
-            let gap = if soon { gap.saturating_sub(GAP) } else { gap };
+            let gap = if soon {
+                gap.saturating_sub(RENEWAL_GAP)
+            } else {
+                gap
+            };
             agent.next = agent.next.min(now + gap);
             let leaving = agent.record.leaving;
             if let Some(slot) = agent.slots.get_mut(&task) {
                 let delay = now.saturating_sub(slot.placed);
                 let tries = slot.tries;
-                if delay > PROMPT || tries > 0 || leaving {
+                if delay > LATE_START_DELAY || tries > 0 || leaving {
                     log::info!(agent:% = id, task:%, attempt, order, delay:?, tries, leaving; "a start is sent late");
                 }
-                self.delays.push(delay);
+                self.start_delays.push(delay);
                 slot.tries += 1;
                 slot.enter(now, Phase::Starting(order));
             }
@@ -368,7 +383,7 @@
             return;
         }
         slot.enter(now, Phase::Ended);
-        self.freed.push(Placed {
+        self.abandoned.push(Placed {
             task,
             attempt,
             agent: id.clone(),
@@ -391,7 +406,7 @@
         for (id, to, task, attempt) in due {
             let about = About::Stop(id.clone(), task);
             let what = What::Stop { to, task, attempt };
-            let order = self.order(now, about, what);
+            let order = self.send_order(now, about, what);
             if let Some(slot) = self.slot(&id, task) {
                 slot.tries += 1;
                 slot.enter(now, Phase::Stopping(Some(order)));
@@ -401,7 +416,7 @@
 }
 
 /// The payload that an agent is told to run, and the checkpoint from which it continues.
-fn content(ledger: &Ledger, task: TaskId) -> Option<(Name, Option<Name>)> {
+fn start_content(ledger: &Ledger, task: TaskId) -> Option<(Name, Option<Name>)> {
     let job = ledger.job(task.step.job)?;
     let spec = job.spec.steps.get(usize::from(task.step.step))?;
     let step = job.step(task.step)?;
@@ -416,7 +431,7 @@
 }
 
 /// The number of attempts of a task that were decided so far.
-pub(super) fn attempts(ledger: &Ledger, task: TaskId) -> u32 {
+pub(super) fn decided_attempts(ledger: &Ledger, task: TaskId) -> u32 {
     let job = ledger.job(task.step.job);
     let task = job.and_then(|job| job.task(task));
     task.map_or(0, |task| task.attempt)
--- a/src/core/workload/scheduler/storm.rs
+++ b/src/core/workload/scheduler/storm.rs
@@ -131,7 +131,7 @@
         if ledger.odds(queue).is_none() {
             return None;
         }
-        let live = self.accepted.keys().filter_map(|id| ledger.job(*id));
+        let live = self.accepted_at.keys().filter_map(|id| ledger.job(*id));
         let live = live.filter(|other| other.queue == *queue && !other.is_over());
         let live = live.filter(|other| other.spec.steps.iter().all(|step| !step.lasting));
         let before = u32::try_from(live.count() + more).unwrap_or(u32::MAX);
--- a/src/core/workload/scheduler/strays.rs
+++ b/src/core/workload/scheduler/strays.rs
@@ -10,16 +10,16 @@
 //! - a stop of such an attempt got no answer.
 //!
 //! So an agent is looked at until a look that was sent after all of these has been answered, once
-//! each [`ACK_DELAY`](super::ACK_DELAY) while nothing is placed there. The first such look also
+//! each [`IDLE_POLL_DELAY`](super::IDLE_POLL_DELAY) while nothing is placed there. The first such look also
 //! tells it this leader's term, after which it refuses what earlier leaders sent.
 
-use super::{Agent, MinionId, Now, STRAY, Scheduler};
+use super::{Agent, MAX_ORDER_TRANSIT, MinionId, Now, Scheduler};
 
 impl Scheduler {
     /// A start that was sent then got no answer, so it may be carried out later.
     pub(super) fn note_stray(&mut self, id: &MinionId, sent: Now) {
         let until = self.strays.entry(id.clone()).or_insert(Now::ZERO);
-        *until = (*until).max(sent + STRAY);
+        *until = (*until).max(sent + MAX_ORDER_TRANSIT);
     }
 
     /// Forgets starts of which nothing can run any more, since the longest lease has run out too.
--- a/src/core/workload/scheduler/throttle.rs
+++ b/src/core/workload/scheduler/throttle.rs
@@ -12,42 +12,46 @@
 /// Shortest time between two changes of the share. Measurements cover the last half second, and a
 /// change takes a tenth of a second to take effect. At a shorter interval, a change would be judged
 /// by measurements from before it.
-const PAUSE: Duration = Duration::from_millis(600);
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(600);
 /// The part of its target above which a tail latency is too near; measurements are rough.
-const NEAR: f64 = 0.9;
+const CUT_ABOVE: f64 = 0.9;
 /// The part of its target below which there is room for a larger share.
-const WELL: f64 = 0.7;
+const RAISE_BELOW: f64 = 0.7;
 /// The multiple of its target above which a tail latency leaves no time for gradual cuts.
-const FAR: f64 = 1.5;
+const STOP_ABOVE: f64 = 1.5;
 /// Factor on the share when a tail latency is too near its target.
-const CUT: f64 = 0.4;
+const CUT_FACTOR: f64 = 0.4;
 /// A share below this is set to zero: a task at a few hundredths of its speed still disturbs the
 /// others and makes no progress.
 const LEAST: u8 = 10;
 /// Added to the share when there is room, and when there is much room.
-const STEP: (u8, u8) = (10, 20);
+const RAISE_STEPS: (u8, u8) = (10, 20);
 /// The part of its target below which there is much room.
-const VERY_WELL: f64 = 0.4;
+const RAISE_FAST_BELOW: f64 = 0.4;
 /// Full speed.
-pub(super) const FULL: u8 = 100;
+pub(super) const FULL_SHARE: u8 = 100;
 /// Not a share: what a task was told isn't known, or may not have arrived.
-pub(super) const UNTOLD: u8 = u8::MAX;
+pub(super) const UNKNOWN_SHARE: u8 = u8::MAX;
 /// The share that a new leader begins with, which is what a cut leaves of full speed. What its
 /// predecessor told the agent isn't known, and tasks that it had throttled to zero would otherwise
 /// stay there.
-pub(super) const INHERITED: u8 = 40;
+pub(super) const INHERITED_SHARE: u8 = 40;
 
 /// The share that best-effort tasks should run at, given their present share and the highest tail
 /// latency as a part of its target.
-fn adjust(share: u8, tail: f64) -> u8 {
-    if tail > FAR {
+fn adjust_share(share: u8, tail: f64) -> u8 {
+    if tail > STOP_ABOVE {
         0
-    } else if tail > NEAR {
-        let cut = (f64::from(share) * CUT) as u8;
+    } else if tail > CUT_ABOVE {
+        let cut = (f64::from(share) * CUT_FACTOR) as u8;
         if cut < LEAST { 0 } else { cut }
-    } else if tail < WELL {
-        let step = if tail < VERY_WELL { STEP.1 } else { STEP.0 };
-        share.saturating_add(step).min(FULL)
+    } else if tail < RAISE_BELOW {
+        let step = if tail < RAISE_FAST_BELOW {
+            RAISE_STEPS.1
+        } else {
+            RAISE_STEPS.0
+        };
+        share.saturating_add(step).min(FULL_SHARE)
     } else {
         share
     }
@@ -55,13 +59,14 @@
 
 impl Scheduler {
     /// Takes in what an agent measured, and adjusts the share of its best-effort tasks.
-    pub(super) fn measure(&mut self, now: Now, id: &MinionId, report: &Report) {
+    pub(super) fn adjust_throttle(&mut self, now: Now, id: &MinionId, report: &Report) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        if agent.has_best_effort() && now >= agent.throttled + PAUSE {
+        if agent.has_best_effort() && now >= agent.throttled + MIN_CHANGE_INTERVAL {
             // Without latency-sensitive tasks nothing stands against full speed.
-            let share = worst(agent, report).map_or(FULL, |tail| adjust(agent.share, tail));
+            let share = worst_tail(agent, report)
+                .map_or(FULL_SHARE, |tail| adjust_share(agent.share, tail));
             if share != agent.share {
                 log::info!(agent:% = id, share, before = agent.share; "the share of best-effort tasks changes");
                 agent.share = share;
@@ -94,13 +99,13 @@
                 attempt,
                 percent,
             };
-            self.order(now, about, what);
+            self.send_order(now, about, what);
         }
     }
 }
 
 /// The highest tail latency of an agent's latency-sensitive tasks, as a part of its target.
-fn worst(agent: &Agent, report: &Report) -> Option<f64> {
+fn worst_tail(agent: &Agent, report: &Report) -> Option<f64> {
     let tails = report.running.iter().filter_map(|running| {
         let slot = agent.slots.get(&running.task)?;
         let target = slot.tail.filter(|_| slot.attempt == running.attempt)?;
--- a/src/core/workload/scheduler/touching.rs
+++ b/src/core/workload/scheduler/touching.rs
@@ -80,7 +80,7 @@
     /// What a round tells the log of hosts: those whose orders are due, and that time passes.
     pub(super) fn touch(&mut self, now: Now) -> Option<Touch> {
         let mut hosts = Vec::new();
-        for (host, duty) in &mut self.hosts.duties {
+        for (host, duty) in &mut self.hosts.operations {
             let agent = duty.agent.as_ref().and_then(|id| self.agents.get(id));
             if duty.stage == Stage::Due && agent.is_some_and(|a| !a.slots.is_empty() && !a.ending) {
                 // It has got something since it was found empty.
@@ -90,10 +90,10 @@
             let due = duty.stage == Stage::Due && now >= duty.since;
             if due && !self.touching.is_held(now, host) {
                 if !self.settings.protections.touches {
-                    duty.stage = Stage::Touched;
+                    duty.stage = Stage::Recorded;
                     continue;
                 }
-                duty.stage = Stage::Touching;
+                duty.stage = Stage::Recording;
                 hosts.push(host.clone());
             }
         }
@@ -101,14 +101,14 @@
             stamped, concerned, ..
         } = &mut self.touching;
         if !hosts.is_empty() {
-            *concerned = now + self.settings.holder + UNDER_WAY + STAMP;
+            *concerned = now + self.settings.handover_delay + UNDER_WAY + STAMP;
         }
         let stale = now < *concerned && stamped.is_none_or(|stamped| now >= stamped + STAMP);
         if hosts.is_empty() && !stale {
             return None;
         }
         *stamped = Some(now);
-        let at = now.saturating_sub(self.began).as_millis();
+        let at = now.saturating_sub(self.started_at).as_millis();
         Some(Touch {
             term: self.term,
             at: u64::try_from(at).unwrap_or(u64::MAX),
@@ -122,9 +122,9 @@
             return;
         };
         for host in &touch.hosts {
-            let duty = self.hosts.duties.get_mut(host);
-            if let Some(duty) = duty.filter(|duty| duty.stage == Stage::Touching) {
-                duty.stage = Stage::Touched;
+            let duty = self.hosts.operations.get_mut(host);
+            if let Some(duty) = duty.filter(|duty| duty.stage == Stage::Recording) {
+                duty.stage = Stage::Recorded;
                 duty.since = now;
             }
         }
--- a/src/core/workload/scheduler/vacating.rs
+++ b/src/core/workload/scheduler/vacating.rs
@@ -9,29 +9,31 @@
 
 use super::{
     Now, PoolId, Scheduler,
-    balance::{Counts, surplus},
-    demand::{AHEAD, Need},
+    balance::{HostCounts, surplus},
+    demand::{MOVE_TIME, Need},
     hosts::{Purpose, Stage},
 };
 use crate::core::types::HostId;
 
 /// The longest time until a chosen host is expected to be empty: as long as a move takes. A host
 /// that takes longer comes too late for the need that it is emptied for.
-const SOON: Duration = AHEAD;
+const MAX_EMPTYING: Duration = MOVE_TIME;
 /// How long a chosen host may take to become empty, if its tasks take longer than expected.
 const PATIENCE: Duration = Duration::from_millis(3000);
 
 /// About when a busy host will be empty, the host, and its pool.
-pub(super) type Soon = (Now, HostId, PoolId);
+pub(super) type EmptyingHost = (Now, HostId, PoolId);
 
 impl Scheduler {
     /// The busy hosts that will be empty soon, the earliest first.
-    pub(super) fn empty_soon(&self, now: Now) -> Vec<Soon> {
+    pub(super) fn hosts_empty_soon(&self, now: Now) -> Vec<EmptyingHost> {
         let views = self.hosts.views.values();
         let soon = views.filter_map(|view| {
             let agent = self.agent_at(view)?;
             let able = agent.is_well() && !agent.cordoned;
-            let empty = agent.empties().filter(|at| able && *at <= now + SOON)?;
+            let empty = agent
+                .empties()
+                .filter(|at| able && *at <= now + MAX_EMPTYING)?;
             let movable = self.is_movable(now, view);
             movable.then(|| (empty, view.host.clone(), view.pool.clone()))
         });
@@ -42,15 +44,15 @@
 
     /// Moves hosts that have become empty. Gives up hosts that the other pool no longer needs or
     /// that don't become empty in time.
-    pub(super) fn settle_vacating(
+    pub(super) fn check_vacating(
         &mut self,
         now: Now,
         needs: &BTreeMap<PoolId, Need>,
-        have: &mut Counts,
+        have: &mut HostCounts,
     ) {
         let mut kept = Vec::new();
-        for (host, duty) in &mut self.hosts.duties {
-            let Purpose::Move(to) = &duty.what else {
+        for (host, duty) in &mut self.hosts.operations {
+            let Purpose::Move(to) = &duty.purpose else {
                 continue;
             };
             if duty.stage != Stage::Emptying {
@@ -71,16 +73,16 @@
             if let Some(view) = self.hosts.views.get(&host) {
                 *have.entry(view.pool.clone()).or_default() += 1;
             }
-            self.end_duty(now, &host);
+            self.end_operation(now, &host);
         }
     }
 }
 
 /// Takes the busy host that will be empty first, from pools that have more than they need now.
-pub(super) fn emptiest(
-    soon: &mut Vec<Soon>,
-    needs: &Counts,
-    have: &Counts,
+pub(super) fn take_emptiest(
+    soon: &mut Vec<EmptyingHost>,
+    needs: &HostCounts,
+    have: &HostCounts,
     to: &PoolId,
 ) -> Option<HostId> {
     let found = soon.iter().position(|(_, _, pool)| {
--- a/src/core/workload/scheduler/waves.rs
+++ b/src/core/workload/scheduler/waves.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Agent, HostState, Map, Now, Phase, Scheduler, StepId, TaskId, Wall,
-    hosts::{Duty, Hosts, Purpose, Stage, WaveTime},
+    hosts::{Hosts, Operation, Purpose, Stage, WaveTimes},
 };
 use crate::core::{
     types::{HostId, WaveId},
@@ -19,58 +19,64 @@
 
 /// How long the maintenance of a host takes, including the time to notice its end; decides how soon
 /// a wave can end.
-const TURN: Duration = Duration::from_millis(3200);
+const MAINTENANCE_TIME: Duration = Duration::from_millis(3200);
 
 /// How long a host of a wave is unavailable, including the time until its tasks have ended.
-const MISSED: Duration = Duration::from_secs(5);
+const UNAVAILABLE_TIME: Duration = Duration::from_secs(5);
 /// Time from the stop of a long-running task until it works elsewhere and the next task of its step
 /// may be stopped: what agents take to stop and start a task, with the polls in between.
-const RESTART: Duration = Duration::from_millis(2100);
+const RESTART_TIME: Duration = Duration::from_millis(2100);
 /// The part of a wave's time in which it is planned to be complete. The rest is for failures: an
 /// election and the pause between the orders of two leaders take some five seconds.
-const PLANNED: f64 = 0.6;
+const PLANNED_PART: f64 = 0.6;
 
 /// How much stands against emptying a host. Hosts with less are emptied first; the fields are
 /// compared in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Burden {
+pub(super) struct EmptyingCost {
     /// Long-running tasks, each of which must be stopped within its step's budget.
-    lasting: usize,
+    long_running: usize,
     /// The largest number of them that belong to one step, and so are stopped one after the other.
-    in_turn: u32,
+    most_per_step: u32,
     /// All tasks.
     all: usize,
 }
 
-impl Burden {
+impl EmptyingCost {
     /// About how long it takes until the host is back from its maintenance.
-    fn span(self) -> Duration {
-        TURN + RESTART * self.in_turn
+    fn duration(self) -> Duration {
+        MAINTENANCE_TIME + RESTART_TIME * self.most_per_step
     }
 }
 
 /// The number of hosts that have to be in progress at once for a wave to be complete in time.
-fn pace(hosts: usize, left: Duration) -> usize {
-    let needed = MISSED.as_secs_f64() * hosts as f64;
-    (needed / (left.as_secs_f64() * PLANNED).max(0.001)).ceil() as usize
+fn hosts_needed(hosts: usize, left: Duration) -> usize {
+    let needed = UNAVAILABLE_TIME.as_secs_f64() * hosts as f64;
+    (needed / (left.as_secs_f64() * PLANNED_PART).max(0.001)).ceil() as usize
 }
 
 impl Scheduler {
     /// Empties hosts of a wave and lets them be maintained.
-    pub(super) fn tend_wave(&mut self, now: Now, wall: Wall, ledger: &Ledger, wave: &WaveRecord) {
+    pub(super) fn advance_wave(
+        &mut self,
+        now: Now,
+        wall: Wall,
+        ledger: &Ledger,
+        wave: &WaveRecord,
+    ) {
         let cap = usize::try_from(wave.cap).unwrap_or(usize::MAX);
-        self.let_go(now, wave);
+        self.drop_missing_hosts(now, wave);
         // Wall clocks may jump, so the wall clock is read only once for each wave.
         let due = now + wave.until.saturating_sub(wall);
         let time = self.hosts.waves.entry(wave.wave);
-        let time = *time.or_insert(WaveTime { since: now, due });
+        let time = *time.or_insert(WaveTimes { since: now, due });
         let left = time.due.saturating_sub(now);
-        self.empty_more(now, wave, cap, time.since, left);
+        self.empty_wave_hosts(now, wave, cap, time.since, left);
         let turns = wave.left.len().div_ceil(cap.max(1));
-        let needed = TURN * u32::try_from(turns).unwrap_or(u32::MAX);
+        let needed = MAINTENANCE_TIME * u32::try_from(turns).unwrap_or(u32::MAX);
         let late = needed >= left;
-        let away = self.away(now, wave);
-        self.admit(now, ledger, wave.wave, cap.saturating_sub(away), late);
+        let away = self.hosts_away(now, wave);
+        self.admit_hosts(now, ledger, wave.wave, cap.saturating_sub(away), late);
     }
 
     /// Removes hosts from a wave that no longer exist.
@@ -78,11 +84,11 @@
     /// Lists alone don't show that. The maintenance of a host that the lists lack is ordered like
     /// that of the others. If the provider refuses, and lists that were asked for after the refusal
     /// lack the host as well, it is gone for good.
-    fn let_go(&mut self, now: Now, wave: &WaveRecord) {
+    fn drop_missing_hosts(&mut self, now: Now, wave: &WaveRecord) {
         let Hosts {
             views,
             presence,
-            refused,
+            refused_at: refused,
             ..
         } = &mut self.hosts;
         for host in wave.left.iter().filter(|host| !views.contains_key(*host)) {
@@ -100,28 +106,35 @@
 
     /// Begins to empty hosts of a wave: hosts that no pool needs at once, and others only as fast
     /// as the wave's time requires, since each host that is emptied is missing in its pool.
-    fn empty_more(&mut self, now: Now, wave: &WaveRecord, cap: usize, since: Now, left: Duration) {
-        let mine = |duty: &&Duty| duty.what == Purpose::Maintain(wave.wave);
-        let mut under = self.hosts.duties.values().filter(mine).count();
+    fn empty_wave_hosts(
+        &mut self,
+        now: Now,
+        wave: &WaveRecord,
+        cap: usize,
+        since: Now,
+        left: Duration,
+    ) {
+        let mine = |duty: &&Operation| duty.purpose == Purpose::Maintain(wave.wave);
+        let mut under = self.hosts.operations.values().filter(mine).count();
         let most = cap.saturating_mul(2);
-        let needed = pace(wave.left.len(), left);
+        let needed = hosts_needed(wave.left.len(), left);
         let mut candidates: Vec<_> = wave
             .left
             .iter()
-            .filter(|host| !self.hosts.duties.contains_key(*host))
-            .filter(|host| !self.is_refused(now, host))
-            .filter_map(|host| Some((self.burden(host, since)?, host.clone())))
+            .filter(|host| !self.hosts.operations.contains_key(*host))
+            .filter(|host| !self.was_refused(now, host))
+            .filter_map(|host| Some((self.emptying_cost(host, since)?, host.clone())))
             .collect();
         candidates.sort_unstable();
         for (burden, host) in candidates {
             if under >= most {
                 return;
             }
-            let unneeded = burden == Burden::default() && self.take_surplus(&host);
-            let pressing = left.mul_f64(PLANNED) <= burden.span();
+            let unneeded = burden == EmptyingCost::default() && self.take_surplus(&host);
+            let pressing = left.mul_f64(PLANNED_PART) <= burden.duration();
             if unneeded || pressing || under < needed {
                 under += 1;
-                self.begin_duty(now, &host, Purpose::Maintain(wave.wave));
+                self.begin_operation(now, &host, Purpose::Maintain(wave.wave));
             }
         }
     }
@@ -146,17 +159,17 @@
     /// How much stands against emptying a host of a wave that has been handled since `since`.
     /// Returns `None` if the host isn't up or its agent is leaving, or if it may exist although it
     /// isn't listed.
-    fn burden(&self, host: &HostId, since: Now) -> Option<Burden> {
+    fn emptying_cost(&self, host: &HostId, since: Now) -> Option<EmptyingCost> {
         let Some(view) = self.hosts.views.get(host) else {
-            let refused = self.hosts.refused.contains_key(host);
+            let refused = self.hosts.refused_at.contains_key(host);
             let gone = !refused && self.hosts.presence.is_gone(host, since);
-            return gone.then(Burden::default);
+            return gone.then(EmptyingCost::default);
         };
         if view.state != HostState::Up {
             return None;
         }
         let Some(agent) = self.agent_at(view) else {
-            return Some(Burden::default());
+            return Some(EmptyingCost::default());
         };
         if agent.record.leaving {
             return None;
@@ -166,18 +179,18 @@
         for (task, _) in lasting {
             *steps.entry(task.step).or_default() += 1;
         }
-        Some(Burden {
-            lasting: usize::try_from(steps.values().sum::<u32>()).unwrap_or(usize::MAX),
-            in_turn: steps.values().max().copied().unwrap_or_default(),
+        Some(EmptyingCost {
+            long_running: usize::try_from(steps.values().sum::<u32>()).unwrap_or(usize::MAX),
+            most_per_step: steps.values().max().copied().unwrap_or_default(),
             all: agent.slots.len(),
         })
     }
 
     /// The number of hosts that are down for a wave, or may be.
-    fn away(&self, now: Now, wave: &WaveRecord) -> usize {
-        let duties = self.hosts.duties.iter();
+    fn hosts_away(&self, now: Now, wave: &WaveRecord) -> usize {
+        let duties = self.hosts.operations.iter();
         let own = duties.filter(|(_, duty)| {
-            duty.what == Purpose::Maintain(wave.wave) && duty.stage != Stage::Emptying
+            duty.purpose == Purpose::Maintain(wave.wave) && duty.stage != Stage::Emptying
         });
         // An earlier leader may have ordered the maintenance of others, a moment ago or earlier.
         let held = wave.left.iter();
@@ -191,7 +204,7 @@
 
     /// Lets hosts be maintained that are empty, or whose remaining tasks may be ended if the wave
     /// would be late otherwise.
-    pub(super) fn admit(
+    pub(super) fn admit_hosts(
         &mut self,
         now: Now,
         ledger: &Ledger,
@@ -199,9 +212,9 @@
         room: usize,
         late: bool,
     ) {
-        let duties = self.hosts.duties.iter();
+        let duties = self.hosts.operations.iter();
         let emptying = duties.filter(|(_, duty)| {
-            duty.what == Purpose::Maintain(wave) && duty.stage == Stage::Emptying
+            duty.purpose == Purpose::Maintain(wave) && duty.stage == Stage::Emptying
         });
         let emptying: Vec<_> = emptying
             .map(|(host, duty)| (host.clone(), duty.agent.clone()))
@@ -210,7 +223,7 @@
         for (host, id) in emptying {
             let agent = id.as_ref().and_then(|id| self.agents.get(id));
             let ready = agent.is_none_or(|agent| {
-                let may_end = late && self.may_end(now, ledger, agent);
+                let may_end = late && self.may_end_all(now, ledger, agent);
                 agent.slots.is_empty() || may_end || !self.settings.protections.budget
             });
             // Nothing at the host is disturbed until an order may go out: its tasks go on, and
@@ -223,7 +236,7 @@
                 // What the agent runs counts as away from here on.
                 agent.ending = true;
             }
-            if let Some(duty) = self.hosts.duties.get_mut(&host) {
+            if let Some(duty) = self.hosts.operations.get_mut(&host) {
                 duty.stage = Stage::Due;
                 duty.since = now;
             }
@@ -231,7 +244,7 @@
     }
 
     /// Whether all that an agent runs may be ended, which loses the work done by its batch tasks.
-    pub(super) fn may_end(&self, now: Now, ledger: &Ledger, agent: &Agent) -> bool {
+    pub(super) fn may_end_all(&self, now: Now, ledger: &Ledger, agent: &Agent) -> bool {
         let lasting = agent.slots.iter().filter(|(_, slot)| slot.lasting);
         let mut steps = BTreeSet::new();
         lasting.into_iter().all(|(task, _)| {
@@ -272,8 +285,8 @@
     }
 
     /// Stops long-running tasks at cordoned agents, as far as the budgets of their steps allow.
-    pub(super) fn empty(&mut self, now: Now, ledger: &Ledger) {
-        let emptying = self.hosts.duties.values();
+    pub(super) fn stop_long_running(&mut self, now: Now, ledger: &Ledger) {
+        let emptying = self.hosts.operations.values();
         let emptying = emptying.filter(|duty| duty.stage == Stage::Emptying);
         let agents: Vec<_> = emptying.filter_map(|duty| duty.agent.clone()).collect();
         for id in agents {
--- a/src/manager/control.rs
+++ b/src/manager/control.rs
@@ -449,11 +449,11 @@
         let share = scheduler.relayed();
         let plan = scheduler.plan(now, wall(), &self.ledger);
         self.load
-            .decided(plan.orders.len(), plan.commands.len(), plan.looks);
-        for age in &plan.ages {
+            .decided(plan.orders.len(), plan.commands.len(), plan.visits);
+        for age in &plan.agent_ages {
             self.ports.metrics.placed_after(*age);
         }
-        for delay in &plan.delays {
+        for delay in &plan.start_delays {
             self.ports.metrics.start_sent_after(*delay);
         }
         for command in plan.commands {
--- a/src/manager/outputs.rs
+++ b/src/manager/outputs.rs
@@ -106,7 +106,7 @@
             }
         }
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.applied(now, wall(), &self.ledger, command, &changes);
+            scheduler.apply(now, wall(), &self.ledger, command, &changes);
         }
         if let Command::Found(_) = command {
             self.join();
@@ -154,7 +154,7 @@
                     self.catalog = Some(Arc::clone(&catalog));
                     let now = self.now();
                     if let Some(scheduler) = &mut self.scheduler {
-                        scheduler.declare(now, catalog, &self.ledger);
+                        scheduler.set_catalog(now, catalog, &self.ledger);
                     }
                 }
                 // It was read before it was committed, by this release or an earlier one.
--- a/src/manager/questions.rs
+++ b/src/manager/questions.rs
@@ -187,7 +187,7 @@
         let news = self
             .scheduler
             .as_mut()
-            .and_then(|scheduler| scheduler.heard(now, &self.ledger, &beat.agent, beat.clock));
+            .and_then(|scheduler| scheduler.heartbeat(now, &self.ledger, &beat.agent, beat.clock));
         match news {
             Some(news) => self.propose(asker, news),
             None => self.reply(asker, Reply::Done),
--- a/tests/workload/budgets.rs
+++ b/tests/workload/budgets.rs
@@ -104,7 +104,7 @@
 fn without_waiting_for_stops_they_do_not() {
     let broken = (0..SEEDS).filter(|seed| {
         let protections = Protections {
-            spent: false,
+            inherited_stops: false,
             ..Protections::default()
         };
         !play(*seed, protections).overdrawn.is_empty()
--- a/tests/workload/lists.rs
+++ b/tests/workload/lists.rs
@@ -92,7 +92,10 @@
         let host = world.agents[&agent].host.clone();
         world.cut(&agent, ms(4000));
         world.until("its silence is noticed", ms(3000), |world| {
-            world.scheduler.as_ref().is_some_and(|s| s.silent() == 1)
+            world
+                .scheduler
+                .as_ref()
+                .is_some_and(|s| s.unresponsive() == 1)
         });
         world.unlisted.insert(host);
         let lists = world.sent["hosts"];
--- a/tests/workload/world.rs
+++ b/tests/workload/world.rs
@@ -585,10 +585,10 @@
         self.disturbed = self.now;
         let settings = Settings {
             lease: self.lease,
-            silence: ms(4000),
-            holder: self.holder,
-            stop: self.stopping,
-            notice: NOTICE,
+            max_silence: ms(4000),
+            handover_delay: self.holder,
+            max_stop: self.stopping,
+            start_window: NOTICE,
             retention: RETENTION,
             protections: self.protections,
         };
@@ -671,7 +671,7 @@
             .with_workspaces(workspaces.collect());
         self.catalog = Arc::new(catalog);
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.declare(self.now, Arc::clone(&self.catalog), &self.ledger);
+            scheduler.set_catalog(self.now, Arc::clone(&self.catalog), &self.ledger);
         }
     }
 
@@ -965,7 +965,7 @@
             self.told.entry(record.id.clone()).or_insert(self.now);
         }
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.applied(self.now, self.now, &self.ledger, &command, &changes);
+            scheduler.apply(self.now, self.now, &self.ledger, &command, &changes);
         }
         true
     }
@@ -1017,13 +1017,13 @@
         let twin = self.turns.is_multiple_of(TWINS).then(|| scheduler.clone());
         let plan = scheduler.plan(self.now, self.now, &self.ledger);
         if let Some(mut twin) = twin {
-            twin.look_at_all();
+            twin.visit_all();
             let other = twin.plan(self.now, self.now, &self.ledger);
             assert_eq!(plan.commands, other.commands, "nothing is overlooked");
             assert_eq!(plan.orders, other.orders, "nothing is overlooked");
         }
         self.check_starts(&plan.commands);
-        let (looks, orders) = (plan.looks, plan.orders.len());
+        let (looks, orders) = (plan.visits, plan.orders.len());
         self.looks += looks;
         self.turns += 1;
         for command in plan.commands {
@@ -1817,7 +1817,7 @@
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        if let Some(news) = scheduler.heard(self.now, &self.ledger, record, clock) {
+        if let Some(news) = scheduler.heartbeat(self.now, &self.ledger, record, clock) {
             self.propose(news);
         } else if record.leaving {
             let known = self.ledger.agent(&record.id);
