--- a/src/core/workload/scheduler/caps.rs
+++ b/src/core/workload/scheduler/caps.rs
@@ -46,7 +46,7 @@
 
 impl Scheduler {
     /// What a workspace runs or may run.
-    fn spent(&self, ledger: &Ledger, workspace: &str) -> Resources {
+    fn usage_of(&self, ledger: &Ledger, workspace: &str) -> Resources {
         ledger.used(workspace).plus(&self.proposed.usage(workspace))
     }
 
@@ -66,7 +66,7 @@
             return true;
         }
         let cap = self.catalog.cap(workspace);
-        cap.allows(&self.spent(ledger, workspace), &spec.need, tasks)
+        cap.allows(&self.usage_of(ledger, workspace), &spec.need, tasks)
     }
 
     /// Counts a task that is proposed to be placed against its workspace's cap.
@@ -91,7 +91,7 @@
             if cap == 0 {
                 continue;
             }
-            let left = cap.saturating_sub(self.spent(ledger, workspace).millicores);
+            let left = cap.saturating_sub(self.usage_of(ledger, workspace).millicores);
             let all = self.ready.millicores(workspace).max(1);
             let part = (left as f64 / all as f64).min(1.0);
             let blocked = |waits: u64| waits - (waits as f64 * part) as u64;
@@ -111,7 +111,7 @@
         if cap == 0 {
             return 1.0;
         }
-        let there = self.spent(ledger, workspace).millicores + self.ready.millicores(workspace);
+        let there = self.usage_of(ledger, workspace).millicores + self.ready.millicores(workspace);
         let steps = job.spec.steps.iter().filter(|step| !step.lasting);
         let wide = steps.map(|step| u64::from(step.tasks) * step.need.millicores);
         let wide = wide.max().unwrap_or_default().max(1);
--- a/src/core/workload/scheduler/eligible.rs
+++ b/src/core/workload/scheduler/eligible.rs
@@ -21,9 +21,9 @@
 /// most 32 of all leaders together; it refuses more.
 const MAX_OPEN_QUESTIONS: usize = 8;
 /// Delay from a question that got no answer to the next one.
-const RETRY: Duration = Duration::from_millis(300);
+const QUESTION_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// A grant isn't used within this time before it expires: a start may take as long to arrive.
-const SPARE: Duration = Duration::from_millis(300);
+const GRANT_MARGIN: Duration = Duration::from_millis(300);
 
 /// What is known about all steps that had to be asked about.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
     /// The grant of each allowed agent, and until when it may be used.
     grants: BTreeMap<MinionId, (Name, Now)>,
     /// Whether a question is outstanding.
-    asking: bool,
+    pending: bool,
     /// When the next question may be sent.
     next: Now,
 }
@@ -109,7 +109,7 @@
         };
         let known = self.eligible.steps.entry(step).or_default();
         known.expire(now);
-        if known.asking || now < known.next || self.eligible.open_questions >= MAX_OPEN_QUESTIONS {
+        if known.pending || now < known.next || self.eligible.open_questions >= MAX_OPEN_QUESTIONS {
             return;
         }
         let asked = self.eligible.steps.get(&step).map(|known| &known.asked);
@@ -121,7 +121,7 @@
         }
         self.eligible.open_questions += 1;
         if let Some(known) = self.eligible.steps.get_mut(&step) {
-            known.asking = true;
+            known.pending = true;
         }
         let count = u32::try_from(agents.len()).unwrap_or(u32::MAX);
         let before = u32::try_from(self.eligible.open_questions).unwrap_or(u32::MAX);
@@ -156,14 +156,14 @@
         let Some(known) = self.eligible.steps.get_mut(&step) else {
             return;
         };
-        known.asking = false;
+        known.pending = false;
         let Answer::Eligible(allowed) = answer else {
             log::info!(step:%, answer:?; "the question which agents may run a step got no answer");
-            known.next = now + RETRY;
+            known.next = now + QUESTION_RETRY_DELAY;
             return;
         };
         log::info!(step:%, asked = agents.len(), allowed = allowed.len(); "which agents may run a step is known");
-        let until = sent + valid.saturating_sub(SPARE);
+        let until = sent + valid.saturating_sub(GRANT_MARGIN);
         known.asked.extend(agents);
         let grants = allowed.into_iter().map(|(id, grant)| (id, (grant, until)));
         known.grants.extend(grants);
--- a/src/core/workload/scheduler/forecast.rs
+++ b/src/core/workload/scheduler/forecast.rs
@@ -23,7 +23,7 @@
 /// need.
 const LEAD_TIME: Duration = Duration::from_millis(1900);
 /// How long after its expected time a surge is still waited for.
-const PATIENCE: Duration = Duration::from_millis(900);
+const SURGE_WAIT: Duration = Duration::from_millis(900);
 /// The part of a pool's last peak that is prepared for; the rest follows once the need is seen.
 const PEAK_PART: f64 = 0.75;
 
@@ -98,7 +98,7 @@
     pub(super) fn expected(&mut self, now: Now) -> Option<(PoolId, f64)> {
         let (last, gap) = (self.last?, self.gap?);
         let due = last + gap;
-        if now > due + PATIENCE {
+        if now > due + SURGE_WAIT {
             self.as_expected = false;
         }
         if !self.as_expected || now + LEAD_TIME < due {
--- a/src/core/workload/scheduler/hosts.rs
+++ b/src/core/workload/scheduler/hosts.rs
@@ -26,7 +26,7 @@
 const LIST_DELAY: (Duration, Duration) = (Duration::from_millis(900), Duration::from_secs(4));
 /// Delay from an order that got no answer, or was refused because there were too many, to the next
 /// try.
-const RETRY: Duration = Duration::from_millis(400);
+const HOST_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// A list that was asked for at least this long after an order shows the order's result.
 const SETTLE_DELAY: Duration = Duration::from_millis(300);
 /// Delay between checks of operations and waves. A busy leader plans a thousand times a second, and
@@ -441,7 +441,7 @@
                 ..
             } => {
                 duty.stage = Stage::Due;
-                duty.since = now + RETRY;
+                duty.since = now + HOST_RETRY_DELAY;
             }
             _ => {
                 log::info!(host:%, what:? = duty.purpose, answer:?; "an order about a host was refused");
--- a/src/core/workload/scheduler/learned.rs
+++ b/src/core/workload/scheduler/learned.rs
@@ -19,7 +19,7 @@
 /// tenths.
 const MAX_DEVIATION: f64 = 0.35;
 /// Number of tasks that must have been seen before they are used for anything.
-const LEAST: u32 = 12;
+const MIN_TASKS: u32 = 12;
 /// How fast the longest time is forgotten: an outlier is halved after fifty tasks.
 const LONGEST_DECAY: f64 = 0.014;
 /// A task is overdue after this many times its estimate, if estimates are reliable,
@@ -82,7 +82,7 @@
 
     /// Whether estimates are reliable, as far as is known.
     pub(super) fn is_reliable(&self) -> bool {
-        self.count < LEAST || self.deviation <= MAX_DEVIATION
+        self.count < MIN_TASKS || self.deviation <= MAX_DEVIATION
     }
 
     /// About how long a task with this estimate takes.
@@ -107,12 +107,12 @@
         } else {
             Duration::from_secs_f64(self.longest * LONGEST_FACTOR)
         };
-        (self.count >= LEAST).then_some(limit + LIMIT_SLACK)
+        (self.count >= MIN_TASKS).then_some(limit + LIMIT_SLACK)
     }
 
     /// The ratio of the time that a task took to its estimate, if it is meaningful.
     pub(super) fn ratio(&self, took: Duration, estimate: Duration) -> Option<f64> {
-        let telling = self.count >= LEAST && self.is_reliable() && estimate >= MIN_COMPARED;
+        let telling = self.count >= MIN_TASKS && self.is_reliable() && estimate >= MIN_COMPARED;
         telling.then(|| took.as_secs_f64() / estimate.as_secs_f64())
     }
 }
--- a/src/core/workload/scheduler/leases.rs
+++ b/src/core/workload/scheduler/leases.rs
@@ -156,7 +156,7 @@
         if self.renewal.is_some() || self.replaced {
             return None;
         }
-        let doubtful = settings.protections.looks && self.is_doubtful(strays);
+        let doubtful = settings.protections.polls && self.is_doubtful(strays);
         let sought = self.unseen && now < self.heard + settings.max_silence;
         let unacked = self.record.acked != self.told;
         let wanted = !self.slots.is_empty() || unacked || doubtful || sought || self.owes_list();
--- a/src/core/workload/scheduler/mod.rs
+++ b/src/core/workload/scheduler/mod.rs
@@ -206,7 +206,7 @@
     pub inherit: bool,
     /// A host is recorded in the log before an order about it goes out, so that the next leader
     /// waits.
-    pub touches: bool,
+    pub intents: bool,
     /// A host is maintained only when it is empty, or when the budgets allow all that it runs to be
     /// away.
     pub budget: bool,
@@ -214,7 +214,7 @@
     /// it wasn't stopped.
     pub inherited_stops: bool,
     /// Agents without placed attempts are polled while something may still run there.
-    pub looks: bool,
+    pub polls: bool,
     /// The loss of a host counts against the tasks that ran there.
     pub suspicion: bool,
     /// Nothing is started beyond the cap of its workspace.
@@ -229,10 +229,10 @@
             strays: true,
             lease: true,
             inherit: true,
-            touches: true,
+            intents: true,
             budget: true,
             inherited_stops: true,
-            looks: true,
+            polls: true,
             suspicion: true,
             caps: true,
             deadlines: true,
--- a/src/core/workload/scheduler/place.rs
+++ b/src/core/workload/scheduler/place.rs
@@ -36,7 +36,8 @@
     undisturbed: bool,
     /// For long-running tasks: the agent already runs some.
     beside_alike: bool,
-    /// By how much the task would delay the time when the agent is empty, in units of [`END_RESOLUTION`].
+    /// By how much the task would delay the time when the agent is empty, in units of
+    /// [`END_RESOLUTION`].
     delay: Reverse<u128>,
     /// Thousandths of a core in use.
     busy: u64,
--- a/src/core/workload/scheduler/ready.rs
+++ b/src/core/workload/scheduler/ready.rs
@@ -67,7 +67,7 @@
     fn rank(&self, now: Now, step: StepId) -> Rank {
         let class = if self.spec.lasting {
             Class::LongRunning
-        } else if self.lapse().is_some_and(|lapse| now <= lapse) {
+        } else if self.latest_start().is_some_and(|lapse| now <= lapse) {
             Class::InTime
         } else {
             Class::Late
@@ -81,7 +81,7 @@
     }
 
     /// The latest time at which its job can still be in time; `None` if it never could.
-    fn lapse(&self) -> Option<Now> {
+    fn latest_start(&self) -> Option<Now> {
         self.deadline.checked_sub(self.remaining_time)
     }
 
@@ -178,7 +178,7 @@
     pub(super) fn insert(&mut self, now: Now, step: StepId, ready: ReadyStep) {
         self.remove(step);
         let rank = ready.rank(now, step);
-        if let Some(lapse) = ready.lapse().filter(|_| rank.class == Class::InTime) {
+        if let Some(lapse) = ready.latest_start().filter(|_| rank.class == Class::InTime) {
             self.latest_starts.insert((lapse, step));
         }
         let line = self.pools.entry(ready.pool.clone()).or_default();
@@ -218,7 +218,7 @@
     }
 
     /// Moves steps that can no longer be in time behind those that can.
-    pub(super) fn lapse(&mut self, now: Now) {
+    pub(super) fn demote_late(&mut self, now: Now) {
         while self
             .latest_starts
             .first()
@@ -240,7 +240,7 @@
     /// The step of a pool to be served next after another, or the first.
     pub(super) fn next(&self, pool: &PoolId, after: Option<Rank>) -> Option<Rank> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        self.look();
+        self.count_visit();
         let line = self.pools.get(pool)?;
         line.ranks.range((from, Bound::Unbounded)).next().copied()
     }
@@ -275,7 +275,7 @@
 
     /// All steps with ready tasks, including steps whose tasks are all placed.
     pub(super) fn iter(&self) -> impl Iterator<Item = (StepId, &ReadyStep)> {
-        let steps = self.steps.iter().inspect(|_| self.look());
+        let steps = self.steps.iter().inspect(|_| self.count_visit());
         steps.map(|(id, entry)| (*id, &entry.ready))
     }
 
@@ -300,7 +300,7 @@
         let Some(Entry { ready, rank }) = self.steps.remove(&step) else {
             return;
         };
-        if let Some(lapse) = ready.lapse() {
+        if let Some(lapse) = ready.latest_start() {
             self.latest_starts.remove(&(lapse, step));
         }
         self.leave(&ready, rank);
@@ -351,7 +351,7 @@
         }
     }
 
-    fn look(&self) {
+    fn count_visit(&self) {
         self.visits.set(self.visits.get() + 1);
     }
 }
--- a/src/core/workload/scheduler/starts.rs
+++ b/src/core/workload/scheduler/starts.rs
@@ -42,7 +42,7 @@
             unbegun: std::mem::take(&mut self.not_started),
             at: wall,
         };
-        self.ready.lapse(now);
+        self.ready.demote_late(now);
         self.agents.index();
         for pool in self.ready.pools() {
             self.fill_pool(now, ledger, &pool, &mut round.starts);
--- a/src/core/workload/scheduler/throttle.rs
+++ b/src/core/workload/scheduler/throttle.rs
@@ -23,7 +23,7 @@
 const CUT_FACTOR: f64 = 0.4;
 /// A share below this is set to zero: a task at a few hundredths of its speed still disturbs the
 /// others and makes no progress.
-const LEAST: u8 = 10;
+const MIN_SHARE: u8 = 10;
 /// Added to the share when there is room, and when there is much room.
 const RAISE_STEPS: (u8, u8) = (10, 20);
 /// The part of its target below which there is much room.
@@ -44,7 +44,7 @@
         0
     } else if tail > CUT_ABOVE {
         let cut = (f64::from(share) * CUT_FACTOR) as u8;
-        if cut < LEAST { 0 } else { cut }
+        if cut < MIN_SHARE { 0 } else { cut }
     } else if tail < RAISE_BELOW {
         let step = if tail < RAISE_FAST_BELOW {
             RAISE_STEPS.1
--- a/src/core/workload/scheduler/touching.rs
+++ b/src/core/workload/scheduler/touching.rs
@@ -89,7 +89,7 @@
             }
             let due = duty.stage == Stage::Due && now >= duty.since;
             if due && !self.touching.is_held(now, host) {
-                if !self.settings.protections.touches {
+                if !self.settings.protections.intents {
                     duty.stage = Stage::Recorded;
                     continue;
                 }
--- a/src/core/workload/scheduler/vacating.rs
+++ b/src/core/workload/scheduler/vacating.rs
@@ -19,7 +19,7 @@
 /// that takes longer comes too late for the need that it is emptied for.
 const MAX_EMPTYING: Duration = MOVE_TIME;
 /// How long a chosen host may take to become empty, if its tasks take longer than expected.
-const PATIENCE: Duration = Duration::from_millis(3000);
+const EMPTYING_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// About when a busy host will be empty, the host, and its pool.
 pub(super) type EmptyingHost = (Now, HostId, PoolId);
@@ -64,7 +64,7 @@
             if agent.is_none_or(|agent| agent.slots.is_empty()) {
                 duty.stage = Stage::Due;
                 duty.since = now;
-            } else if *count > need || now >= duty.since + PATIENCE {
+            } else if *count > need || now >= duty.since + EMPTYING_TIMEOUT {
                 *count -= 1;
                 kept.push(host.clone());
             }
--- a/tests/workload/cancelled.rs
+++ b/tests/workload/cancelled.rs
@@ -224,7 +224,7 @@
 fn without_looking_at_idle_agents_a_cancelled_task_runs_on() {
     // Most of what would run on is refused by its agent already, as it comes after its deadline.
     let without = Protections {
-        looks: false,
+        polls: false,
         deadlines: false,
         ..Protections::default()
     };
--- a/tests/workload/touched.rs
+++ b/tests/workload/touched.rs
@@ -79,7 +79,7 @@
 fn without_the_record_they_do() {
     let broken = (0..SEEDS).filter(|seed| {
         let protections = Protections {
-            touches: false,
+            intents: false,
             ..Protections::default()
         };
         std::panic::catch_unwind(|| play(*seed, protections)).is_err()
