--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -236,7 +236,7 @@
             match self.replaced_outcome(now, &id) {
                 ReplacedOutcome::Unsettled => {}
                 ReplacedOutcome::NeedsReport { successor, since } => {
-                    self.request_report(now, &successor, since)
+                    self.request_report(now, &successor, since);
                 }
                 ReplacedOutcome::Settled => {
                     self.replaced.remove(&id);
