--- a/src/core/workload/scheduler/caps.rs
+++ b/src/core/workload/scheduler/caps.rs
@@ -1,13 +1,14 @@
-//! What workspaces may still start.
+//! Decides what workspaces may still start under their caps.
 //!
-//! What counts against a cap is what the ledger has placed, until the ends of it are in the log, and what
-//! this leader has proposed to place. So a successor counts the same, and what runs unseen counts as long
-//! as it may run: an attempt is taken out of the ledger only once it surely doesn't. A cap that falls stops
-//! nothing; nothing starts until it fits again.
+//! Two things count against a cap: what the ledger has placed, until its end is in the log, and
+//! what this leader has proposed to place. So a successor counts the same. An attempt that can't be
+//! observed counts as long as it may run, because it is removed from the ledger only once it
+//! certainly doesn't. Lowering a cap stops nothing; new tasks start only once the workspace is
+//! within its cap again.
 
 use std::collections::BTreeMap;
 
-use super::{Job, Ledger, PoolId, Scheduler, StepId, StepSpec, TaskId, ready::Waiting};
+use super::{Job, Ledger, PoolId, Scheduler, StepId, StepSpec, TaskId, ready::WaitingLoad};
 use crate::core::{
     types::{Resources, WorkspaceId},
     workload::spec::TaskIx,
@@ -28,7 +29,7 @@
         self.tasks.insert(task, (workspace, need));
     }
 
-    /// The log has it, or never will.
+    /// Removes a task that the ledger has placed, or never will.
     pub(super) fn remove(&mut self, task: TaskId) {
         let Some((workspace, need)) = self.tasks.remove(&task) else {
             return;
@@ -38,19 +39,19 @@
         }
     }
 
-    fn of(&self, workspace: &str) -> Resources {
+    fn usage(&self, workspace: &str) -> Resources {
         self.sums.get(workspace).copied().unwrap_or_default()
     }
 }
 
 impl Scheduler {
-    /// What a workspace has running, or may have.
-    fn spent(&self, ledger: &Ledger, workspace: &str) -> Resources {
-        ledger.used(workspace).plus(&self.proposed.of(workspace))
+    /// What a workspace runs or may run.
+    fn usage_of(&self, ledger: &Ledger, workspace: &str) -> Resources {
+        ledger.used(workspace).plus(&self.proposed.usage(workspace))
     }
 
-    /// Whether so many tasks of a step may start together now as far as the cap of its workspace goes.
-    pub(super) fn may_start(
+    /// Whether this many tasks of a step may start together now under the cap of its workspace.
+    pub(super) fn cap_allows(
         &self,
         ledger: &Ledger,
         step: StepId,
@@ -65,38 +66,44 @@
             return true;
         }
         let cap = self.catalog.cap(workspace);
-        cap.allows(&self.spent(ledger, workspace), &spec.need, tasks)
+        cap.allows(&self.usage_of(ledger, workspace), &spec.need, tasks)
     }
 
-    /// Notes that a task is proposed to be placed.
-    pub(super) fn claim(&mut self, ledger: &Ledger, task: TaskId, spec: &StepSpec) {
+    /// Counts a task that is proposed to be placed against its workspace's cap.
+    pub(super) fn reserve(&mut self, ledger: &Ledger, task: TaskId, spec: &StepSpec) {
         let job = ledger.job(task.step.job);
         if let Some(workspace) = job.and_then(|job| job.workspace.clone()) {
             self.proposed.add(task, workspace, spec.need);
         }
     }
 
-    /// The part of what waits in a pool that its workspaces may run: no host is of use for the rest.
-    pub(super) fn startable(&self, ledger: &Ledger, pool: &PoolId, waiting: Waiting) -> Waiting {
+    /// The part of a pool's waiting work that the caps of its workspaces allow to run. Hosts are of
+    /// no use for the rest.
+    pub(super) fn startable(
+        &self,
+        ledger: &Ledger,
+        pool: &PoolId,
+        waiting: WaitingLoad,
+    ) -> WaitingLoad {
         let mut startable = waiting;
         for (workspace, held) in self.ready.held(pool) {
             let cap = self.catalog.cap(workspace).0.millicores;
             if cap == 0 {
                 continue;
             }
-            let left = cap.saturating_sub(self.spent(ledger, workspace).millicores);
+            let left = cap.saturating_sub(self.usage_of(ledger, workspace).millicores);
             let all = self.ready.millicores(workspace).max(1);
             let part = (left as f64 / all as f64).min(1.0);
             let blocked = |waits: u64| waits - (waits as f64 * part) as u64;
             startable.all = startable.all.saturating_sub(blocked(held.all));
-            startable.short = startable.short.saturating_sub(blocked(held.short));
+            startable.batch = startable.batch.saturating_sub(blocked(held.batch));
         }
         startable
     }
 
-    /// The part of a job that has come which its workspace's cap leaves room for, beside what runs and waits
-    /// before it. The rest is no demand.
-    pub(super) fn open_part(&self, ledger: &Ledger, job: &Job) -> f64 {
+    /// The part of an arriving job that its workspace's cap leaves room for, beside what already
+    /// runs and waits. The rest doesn't count as demand.
+    pub(super) fn allowed_part(&self, ledger: &Ledger, job: &Job) -> f64 {
         let Some(workspace) = &job.workspace else {
             return 1.0;
         };
@@ -104,7 +111,7 @@
         if cap == 0 {
             return 1.0;
         }
-        let there = self.spent(ledger, workspace).millicores + self.ready.millicores(workspace);
+        let there = self.usage_of(ledger, workspace).millicores + self.ready.millicores(workspace);
         let steps = job.spec.steps.iter().filter(|step| !step.long_running);
         let wide = steps.map(|step| u64::from(step.tasks) * step.need.millicores);
         let wide = wide.max().unwrap_or_default().max(1);
--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -1,30 +1,36 @@
-//! What the changes of the ledger mean for the leader, from those that it inherits on.
+//! Applies changes of the ledger to the scheduler's state: takes over what earlier leaders
+//! committed, tracks jobs, tasks and agents as they change, and works out when an agent's earlier
+//! incarnation has terminated.
+//!
+//! An incarnation that a later one has replaced is removed only once nothing that was ordered of it
+//! can start any more and all its results are in the log.
 
 use std::time::Duration;
 
 use super::{
-    Agent, AgentRecord, Change, Job, Ledger, MinionId, Now, Phase, Placement, Run, STRAY,
-    Scheduler, Settings, Slot, StepSpec, Task, TaskId, Wall,
+    Agent, AgentRecord, Change, Job, Ledger, MAX_ORDER_TRANSIT, MinionId, Now, Phase, Placement,
+    Run, Scheduler, Settings, Slot, StepSpec, Task, TaskId, Wall,
     hosts::Stage,
-    throttle::{INHERITED, UNTOLD},
+    throttle::{INHERITED_SHARE, UNKNOWN_SHARE},
 };
 use crate::core::types::Attempt;
 
-/// How far it is known what came of what was ordered of an agent that was replaced.
-enum Settling {
-    /// Something of it may run, or whoever lives in its place isn't known.
-    Open,
-    /// Nothing of it has run since then; whether it ran to its end, only a list of its successor tells.
-    Asks { successor: MinionId, since: Now },
-    /// All of it is known.
-    Over,
+/// What is known about the orders that were sent to a replaced incarnation.
+enum ReplacedOutcome {
+    /// An attempt may still run, or the incarnation that replaced it isn't known.
+    Unsettled,
+    /// No attempt has run since `since`. Whether each one ran to its end is known only from a
+    /// report of the successor.
+    NeedsReport { successor: MinionId, since: Now },
+    /// The outcome of every order is known.
+    Settled,
 }
 
 impl Scheduler {
     /// Takes an agent over from an earlier leader.
     ///
-    /// `shared` says whether others are known at its address: an earlier leader hadn't come to find
-    /// out who lives there.
+    /// `shared` says whether other agents are known at its address: an earlier leader may not have
+    /// found out which of them is running there.
     pub(super) fn inherit(
         &mut self,
         now: Now,
@@ -41,15 +47,15 @@
             let attempt = placed.attempt;
             let mut slot = Slot::new(spec, attempt, Phase::Unsure, now);
             slot.began = placed.started_at;
-            // What the earlier leader sent last may still be under way.
+            // The last order of the earlier leader may still be in transit.
             slot.unanswered = Some(now);
             slot.inherited = true;
             slot.begun = !placed.not_started;
-            slot.share = UNTOLD;
+            slot.share = UNKNOWN_SHARE;
             if self.settings.protections.inherit {
                 agent.add(task, slot);
             } else {
-                self.freed.push(Placement {
+                self.abandoned.push(Placement {
                     task,
                     attempt,
                     agent: id.clone(),
@@ -57,7 +63,7 @@
             }
         }
         if agent.has_best_effort() {
-            agent.share = INHERITED;
+            agent.share = INHERITED_SHARE;
         }
         if !agent.slots.is_empty() {
             agent.lease = inherited_lease(now, &self.settings);
@@ -66,34 +72,34 @@
         self.agents.insert(id.clone(), agent);
     }
 
-    pub(super) fn change(&mut self, now: Now, wall: Wall, ledger: &Ledger, change: &Change) {
+    pub(super) fn apply_change(&mut self, now: Now, wall: Wall, ledger: &Ledger, change: &Change) {
         match change {
             Change::Accepted(id) => {
                 if let Some(job) = ledger.job(*id) {
-                    self.accepted.insert(*id, now);
-                    let work = self.work(job) * self.open_part(ledger, job);
-                    self.note_demand(&self.pool(job), work);
-                    self.take_job(now, wall, *id, job);
+                    self.accepted_at.insert(*id, now);
+                    let work = self.batch_work(job) * self.allowed_part(ledger, job);
+                    self.add_demand(&self.pool(job), work);
+                    self.open_job(now, wall, *id, job);
                 }
             }
             Change::JobEnded(id) => self.end_job(now, ledger, *id),
             Change::StepReady(step) => {
                 if let Some(job) = ledger.job(step.job) {
-                    self.open(now, *step, job);
+                    self.open_step(now, *step, job);
                 }
             }
             Change::Done {
                 task,
                 was_abandoned: late,
-            } => self.settle(*task, *late),
+            } => self.complete_task(*task, *late),
             Change::Redundant(placed) => {
-                log::info!(task:% = placed.task, attempt = placed.attempt, agent:% = placed.agent; "an attempt isn't needed any more");
+                log::info!(task:% = placed.task, attempt = placed.attempt, agent:% = placed.agent; "an attempt is no longer needed");
                 self.stop(now, &placed.agent, placed.task);
             }
             Change::Unplaced {
                 placed,
                 retry: again,
-            } => self.vacated(now, ledger, placed, *again),
+            } => self.remove_attempt(now, ledger, placed, *again),
             Change::Suspected(task, evidence) => {
                 if let Some(job) = ledger.job(task.step.job) {
                     self.suspect(job, *task, *evidence);
@@ -105,7 +111,7 @@
                 }
             }
             Change::Declared | Change::Placed(_) | Change::Wave(_) | Change::PoisonTask(_) => {}
-            Change::Agent(id) => self.know(now, ledger, id),
+            Change::Agent(id) => self.update_agent(now, ledger, id),
             Change::Renamed { from, to } => {
                 self.agents.remove(from);
                 self.ends.remove(from);
@@ -122,7 +128,7 @@
         }
     }
 
-    fn know(&mut self, now: Now, ledger: &Ledger, id: &MinionId) {
+    fn update_agent(&mut self, now: Now, ledger: &Ledger, id: &MinionId) {
         let Some(record) = ledger.agent(id) else {
             return;
         };
@@ -136,8 +142,9 @@
             None => {
                 let mut agent = Agent::new(record.clone(), now);
                 agent.unseen = true;
-                // Its host may be listed, and be chosen for something, before its first heartbeat.
-                for duty in self.hosts.duties.values_mut() {
+                // Its host may have been listed, and chosen for an operation, before the agent's
+                // first heartbeat.
+                for duty in self.hosts.operations.values_mut() {
                     let chosen = duty.agent.is_none() && duty.name.as_ref() == Some(record.name());
                     if chosen && !matches!(duty.stage, Stage::Ordered(_) | Stage::Away) {
                         duty.agent = Some(id.clone());
@@ -145,18 +152,19 @@
                     }
                 }
                 self.agents.insert(id.clone(), agent);
-                // It may be of a host that is back, which only a list shows.
-                self.hosts.newcomer = true;
+                // Its host may have come back, which only a list of the hosts shows.
+                self.hosts.new_agent = true;
             }
         }
     }
 
-    /// An agent answered for the first time, to a look that was sent then: those that were known
-    /// before at its address, or by its name, are over.
+    /// Handles the first answer of an agent, to an order sent at `sent`: other agents that were
+    /// known before that time at its address or by its name have terminated or been replaced.
     ///
-    /// An address and a name belong to one incarnation at a time. They lived before the look was sent,
-    /// and this one after it. Of those that became known since, the look says nothing.
-    pub(super) fn supersede(&mut self, now: Now, sent: Now, id: &MinionId) {
+    /// An address and a name belong to one incarnation at a time. The others ran before the order
+    /// was sent, and this one answered after it. About agents that became known after `sent` the
+    /// answer says nothing.
+    pub(super) fn replace_former(&mut self, now: Now, sent: Now, id: &MinionId) {
         let Some(seen) = self.agents.get_mut(id) else {
             return;
         };
@@ -173,18 +181,22 @@
             let agent = self.agents.get(other);
             agent.is_some_and(|agent| *agent.record.name() == name)
         });
-        self.gone.extend(others);
+        self.terminated.extend(others);
         let replaced = |other: &MinionId| self.replaced.contains(other);
         let (before, newly): (Vec<_>, Vec<_>) = same.into_iter().partition(replaced);
-        // Whoever confirmed their stops is over, too, and this one may still be told to begin what was stopped.
+        // The incarnation that confirmed their stops has been replaced, too, and this one may still
+        // receive starts of the attempts that were stopped.
         if !newly.is_empty() {
-            before.iter().for_each(|other| self.stop_anew(now, other));
+            before
+                .iter()
+                .for_each(|other| self.stop_replaced(now, other));
         }
         for other in before.iter().chain(&newly) {
             self.inherit_strays(other, id);
-            self.replace(now, other, Some(id));
+            self.mark_replaced(now, other, Some(id));
         }
-        // An order for one before it may have come to it, with a longer lease than was given here.
+        // An order for an earlier incarnation may have reached this one, with a longer lease than
+        // this leader granted it.
         if let Some(agent) = self.agents.get_mut(id)
             && agent.record.id != *agent.record.name()
         {
@@ -192,24 +204,25 @@
         }
     }
 
-    /// A later incarnation of an agent lives in its place.
+    /// Marks an incarnation as replaced by a later one of the same agent.
     ///
-    /// It takes what is ordered of this one, as orders name the agent. What may so be begun there is
-    /// stopped before this one is over and its tasks are started anew.
+    /// The later incarnation accepts orders for this one, as orders name the agent. Attempts that
+    /// may have started there because of that are stopped before this incarnation is removed and
+    /// its tasks are started anew.
     ///
-    /// `by` is the later one if it has answered as itself; until it does, only its answers to what is
-    /// ordered of this one show that it is there.
-    pub(super) fn replace(&mut self, now: Now, id: &MinionId, by: Option<&MinionId>) {
+    /// `by` is the later incarnation if it has answered under its own id. Until it does, only its
+    /// answers to orders for this one show that it exists.
+    pub(super) fn mark_replaced(&mut self, now: Now, id: &MinionId, by: Option<&MinionId>) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         if std::mem::replace(&mut agent.replaced, true) {
             return;
         }
-        // What was known of its trouble before says nothing of the incarnation that lives now.
+        // Failures of the earlier incarnation to answer say nothing about the one that runs now.
         agent.trouble = Some(now);
         agent.silent.get_or_insert(now);
-        agent.outlive(now, &self.settings);
+        agent.extend_lease(now, &self.settings);
         let unsettled = agent.slots.values_mut().filter(|slot| slot.is_unsettled());
         let mut count = 0;
         for slot in unsettled {
@@ -218,60 +231,62 @@
             count += 1;
         }
         let by = by.map_or("", |id| &**id);
-        log::info!(agent:% = id, by, unsettled = count; "an agent has started again");
+        log::info!(agent:% = id, by, unsettled = count; "an agent has restarted");
         self.replaced.insert(id.clone());
     }
 
-    /// Agents that were replaced are over once nothing that was ordered of them can begin any more, and
-    /// what came of it is in the log.
-    pub(super) fn settle_replaced(&mut self, now: Now) {
+    /// Marks replaced incarnations as terminated once nothing that was ordered of them can start
+    /// any more and all their results are in the log.
+    pub(super) fn retire_replaced(&mut self, now: Now) {
         for id in self.replaced.clone() {
-            match self.settling(now, &id) {
-                Settling::Open => {}
-                Settling::Asks { successor, since } => self.await_list(now, &successor, since),
-                Settling::Over => {
+            match self.replaced_outcome(now, &id) {
+                ReplacedOutcome::Unsettled => {}
+                ReplacedOutcome::NeedsReport { successor, since } => {
+                    self.request_report(now, &successor, since);
+                }
+                ReplacedOutcome::Settled => {
                     self.replaced.remove(&id);
-                    self.gone.insert(id);
+                    self.terminated.insert(id);
                 }
             }
         }
     }
 
-    /// How far it is known what came of what was ordered of an agent that was replaced.
+    /// Returns what is known about the orders that were sent to a replaced incarnation.
     ///
-    /// A stop that is confirmed says that nothing of it runs, and not that it didn't run to its end. Only
-    /// the incarnation that took the orders knows, and a list that it was asked for before the stops were
-    /// through may lack an end.
-    fn settling(&self, now: Now, id: &MinionId) -> Settling {
+    /// A confirmed stop shows that the attempt isn't running, but not whether it had already run to
+    /// its end. Only the incarnation that accepted the orders knows that, and a report that it was
+    /// asked for before the stops were complete may lack an end.
+    fn replaced_outcome(&self, now: Now, id: &MinionId) -> ReplacedOutcome {
         let Some(agent) = self.agents.get(id) else {
-            return Settling::Over;
+            return ReplacedOutcome::Settled;
         };
         let mut since = None;
         for slot in agent.slots.values() {
             match slot.phase {
-                Phase::Stopping(_) => return Settling::Open,
-                Phase::Stopped => since = since.max(Some(slot.since + self.settings.stop)),
+                Phase::Stopping(_) => return ReplacedOutcome::Unsettled,
+                Phase::Stopped => since = since.max(Some(slot.since + self.settings.max_stop)),
                 _ => {}
             }
         }
-        // Nothing was to be stopped there, or all of it is known.
+        // Nothing had to be stopped there, or the outcome of all of it is known.
         let Some(since) = since else {
-            return Settling::Over;
+            return ReplacedOutcome::Settled;
         };
         let successor = self.agents.named(agent.record.name());
         let successor = successor.filter(|next| !next.replaced && !next.unseen);
         match successor {
-            Some(next) if now >= since && next.has_told(since) => Settling::Over,
-            Some(next) if now >= since => Settling::Asks {
+            Some(next) if now >= since && next.has_told(since) => ReplacedOutcome::Settled,
+            Some(next) if now >= since => ReplacedOutcome::NeedsReport {
                 successor: next.record.id.clone(),
                 since,
             },
-            _ => Settling::Open,
+            _ => ReplacedOutcome::Unsettled,
         }
     }
 
-    /// Asks an agent for a list, unless it has answered with one that was asked for since then.
-    fn await_list(&mut self, now: Now, id: &MinionId, since: Now) {
+    /// Asks an agent for a report, unless it has already been asked for one since then.
+    fn request_report(&mut self, now: Now, id: &MinionId, since: Now) {
         let known = self.agents.get(id);
         if known.is_none_or(|agent| agent.awaited >= Some(since)) {
             return;
@@ -282,12 +297,12 @@
         }
     }
 
-    /// Stops anew what was stopped of an agent that was replaced.
-    fn stop_anew(&mut self, now: Now, id: &MinionId) {
+    /// Stops the stopped attempts of a replaced incarnation again.
+    fn stop_replaced(&mut self, now: Now, id: &MinionId) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.outlive(now, &self.settings);
+        agent.extend_lease(now, &self.settings);
         for slot in agent.slots.values_mut() {
             if matches!(slot.phase, Phase::Stopping(_) | Phase::Stopped) {
                 slot.tries = 0;
@@ -296,9 +311,9 @@
         }
     }
 
-    /// Stops anew what was stopped of earlier incarnations of an agent, if its list shows any of it though it
-    /// was asked for when that had to be over.
-    pub(super) fn stop_again(
+    /// Stops the stopped attempts of an agent's earlier incarnations again if a report of the agent
+    /// shows one of them, although the report was asked for when that attempt had to have ended.
+    pub(super) fn stop_late_attempts(
         &mut self,
         now: Now,
         sent: Now,
@@ -311,7 +326,7 @@
         let Some(agent) = self.agents.get(id) else {
             return;
         };
-        let stop = self.settings.stop;
+        let stop = self.settings.max_stop;
         let late = |agent: &Agent| {
             running.iter().any(|(task, attempt)| {
                 let slot = agent.slots.get(task);
@@ -323,11 +338,11 @@
         let former = former.filter(|former| former.replaced && late(former));
         let former: Vec<_> = former.map(|agent| agent.record.id.clone()).collect();
         for former in former {
-            self.stop_anew(now, &former);
+            self.stop_replaced(now, &former);
         }
     }
 
-    /// Starts that were sent to an incarnation and got no answer may be carried out by the next.
+    /// Carries over starts that got no answer: the next incarnation may carry them out.
     fn inherit_strays(&mut self, from: &MinionId, to: &MinionId) {
         if let Some(until) = self.strays.get(from).copied() {
             let strays = self.strays.entry(to.clone()).or_insert(until);
@@ -335,8 +350,8 @@
         }
     }
 
-    /// An attempt doesn't run any more.
-    fn vacated(&mut self, now: Now, ledger: &Ledger, placed: &Placement, again: bool) {
+    /// Removes an attempt that no longer runs.
+    fn remove_attempt(&mut self, now: Now, ledger: &Ledger, placed: &Placement, again: bool) {
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
             let same = |slot: &Slot| slot.attempt == placed.attempt;
             if agent.slots.get(&placed.task).is_some_and(same) {
@@ -344,34 +359,34 @@
             }
         }
         if again {
-            self.free(now, ledger, placed.task);
+            self.make_ready(now, ledger, placed.task);
         }
     }
 
-    /// A task is done and never runs again: nothing of it waits, and nothing waits for it.
+    /// Removes a task that is done, and so never runs again, from the ready tasks and the suspects.
     ///
-    /// An attempt that was given up may turn out to have done it, so that its last one needn't be placed.
-    fn settle(&mut self, task: TaskId, late: bool) {
+    /// An abandoned attempt may turn out to have done it, so its latest attempt needn't be placed.
+    fn complete_task(&mut self, task: TaskId, late: bool) {
         self.ready.take(task.step, task.task);
         let held = self.suspects.clear(task);
         if let Some(held) = held.filter(|_| late) {
             let hosts = held.evidence.own.hosts;
-            log::info!(task:%, hosts; "a suspect was done by an attempt that had been given up");
+            log::info!(task:%, hosts; "a suspect was completed by an abandoned attempt");
         }
     }
 
     /// Makes a task ready again.
-    fn free(&mut self, now: Now, ledger: &Ledger, task: TaskId) {
+    fn make_ready(&mut self, now: Now, ledger: &Ledger, task: TaskId) {
         let Some(job) = ledger.job(task.step.job).filter(|job| !job.has_ended()) else {
             return;
         };
         if !self.ready.free(task.step, task.task) {
-            self.open(now, task.step, job);
+            self.open_step(now, task.step, job);
         }
     }
 
-    /// Sends the starts that were committed, and forgets those that lost a race in the ledger.
-    pub(super) fn check_start(&mut self, now: Now, ledger: &Ledger, start: &Placement) {
+    /// Makes committed starts due, and drops those that the ledger no longer shows as placed.
+    pub(super) fn confirm_start(&mut self, now: Now, ledger: &Ledger, start: &Placement) {
         let job = ledger.job(start.task.step.job);
         let task = job.and_then(|job| job.task(start.task));
         let stands = task.is_some_and(|task| {
@@ -384,9 +399,9 @@
                 return;
             }
             if stands {
-                // It was cancelled in between, and nothing was sent.
+                // The job was cancelled in the meantime, and nothing was sent.
                 slot.enter(now, Phase::Ended);
-                self.freed.push(start.clone());
+                self.abandoned.push(start.clone());
                 return;
             }
         }
@@ -394,32 +409,32 @@
             agent.remove(now, start.task);
         }
         let needed = |task: &Task| task.agent.is_none() && !task.done;
-        // The tasks of an occurrence that is finished may have been dropped.
+        // The tasks of a finished occurrence may have been dropped.
         let run = job.and_then(|job| job.runs.get(&start.task.step.occurrence));
         let open = !run.is_some_and(Run::is_finished);
         if open && task.is_none_or(needed) {
-            self.free(now, ledger, start.task);
+            self.make_ready(now, ledger, start.task);
         }
     }
 }
 
 impl Agent {
-    /// What was ordered of it may be carried out by the next incarnation, with the longest lease by that one's
-    /// clock, and later if it got no answer.
-    fn outlive(&mut self, now: Now, settings: &Settings) {
+    /// Extends the lease for orders of this incarnation that the next one may carry out: with the
+    /// longest lease by the next one's clock, and later if an order got no answer.
+    fn extend_lease(&mut self, now: Now, settings: &Settings) {
         let unanswered = self.slots.values().filter_map(|slot| slot.unanswered).max();
-        let astray = unanswered.map(|sent| sent + STRAY + settings.lease);
+        let astray = unanswered.map(|sent| sent + MAX_ORDER_TRANSIT + settings.lease);
         let lease = inherited_lease(now, settings);
         self.lease = self.lease.max(lease).max(astray.unwrap_or(lease));
     }
 }
 
-/// By when a lease that somebody else gave has surely run out.
+/// When a lease granted by another leader or to another incarnation has certainly expired.
 fn inherited_lease(now: Now, settings: &Settings) -> Now {
     now + settings.lease.mul_f64(1.03) + Duration::from_millis(300)
 }
 
-/// What a task that is placed runs, and what is known of it.
+/// The step's spec and the state of a placed task.
 fn placed_spec(ledger: &Ledger, task: TaskId) -> Option<(&StepSpec, &Task)> {
     let job = ledger.job(task.step.job)?;
     let spec = job.spec.steps.get(usize::from(task.step.step))?;
--- a/src/core/workload/scheduler/jobs.rs
+++ b/src/core/workload/scheduler/jobs.rs
@@ -1,41 +1,50 @@
-//! Jobs as they come, open their steps and end.
+//! Handles jobs as they arrive, open their steps and end: makes their tasks ready, estimates how
+//! long they take and sets the deadlines by which they are ordered, and stops what is left of them
+//! when they are over.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use super::{
-    Command, Job, JobId, JobState, Learned, Ledger, Now, Occurrence, PoolId, Ready, Run, Scheduler,
-    StepId, StepIx, StepSpec, TaskIx, Wall,
+    Command, Job, JobId, JobState, Ledger, Now, Occurrence, PoolId, ReadyStep, Run, Scheduler,
+    StepId, StepIx, StepSpec, TaskIx, TaskTimes, Wall,
 };
 
 impl Scheduler {
-    /// Makes the tasks of a job ready that may run at once, and notes when others are due.
-    pub(super) fn take_job(&mut self, now: Now, wall: Wall, id: JobId, job: &Job) {
+    /// Makes the tasks of a job ready that may run at once, and records when its later occurrences
+    /// are due.
+    pub(super) fn open_job(&mut self, now: Now, wall: Wall, id: JobId, job: &Job) {
         for occurrence in 0..job.spec.occurrences() {
             if job.runs.get(&occurrence).is_some_and(Run::is_finished) {
                 continue;
             }
             match job.spec.due(occurrence) {
                 Some(due) if due > wall => {
-                    self.timed.insert((due, id, occurrence));
+                    self.upcoming.insert((due, id, occurrence));
                 }
-                _ => self.open_run(now, id, occurrence, job),
+                _ => self.open_occurrence(now, id, occurrence, job),
             }
         }
     }
 
-    pub(super) fn open_due(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
-        while let Some((due, id, occurrence)) = self.timed.first().copied() {
+    pub(super) fn open_due_occurrences(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
+        while let Some((due, id, occurrence)) = self.upcoming.first().copied() {
             if due > wall {
                 return;
             }
-            self.timed.pop_first();
+            self.upcoming.pop_first();
             if let Some(job) = ledger.job(id).filter(|job| !job.has_ended()) {
-                self.open_run(now, id, occurrence, job);
+                self.open_occurrence(now, id, occurrence, job);
             }
         }
     }
 
-    pub(super) fn open_run(&mut self, now: Now, id: JobId, occurrence: Occurrence, job: &Job) {
+    pub(super) fn open_occurrence(
+        &mut self,
+        now: Now,
+        id: JobId,
+        occurrence: Occurrence,
+        job: &Job,
+    ) {
         for step in 0..job.spec.steps.len() {
             let step = StepId {
                 job: id,
@@ -43,13 +52,13 @@
                 step: StepIx::try_from(step).unwrap_or(StepIx::MAX),
             };
             if job.is_ready(step) {
-                self.open(now, step, job);
+                self.open_step(now, step, job);
             }
         }
     }
 
-    /// Makes the tasks of a step ready that aren't done or placed.
-    pub(super) fn open(&mut self, now: Now, id: StepId, job: &Job) {
+    /// Makes the tasks of a step ready that are neither done nor placed.
+    pub(super) fn open_step(&mut self, now: Now, id: StepId, job: &Job) {
         let Some(spec) = job.spec.steps.get(usize::from(id.step)) else {
             return;
         };
@@ -61,38 +70,38 @@
             }
             None => (0..spec.tasks).collect(),
         };
-        let mut ready = self.describe(now, id, job, spec, free);
+        let mut ready = self.ready_step(now, id, job, spec, free);
         if let Some(before) = self.ready.get(id) {
-            // What is proposed and not committed isn't free either.
+            // A task that is proposed to be placed and not committed yet isn't free either.
             ready.free = before.free.clone();
         }
         self.ready.insert(now, id, ready);
     }
 
-    pub(super) fn describe(
+    pub(super) fn ready_step(
         &self,
         now: Now,
         id: StepId,
         job: &Job,
         spec: &StepSpec,
         free: BTreeSet<TaskIx>,
-    ) -> Ready {
+    ) -> ReadyStep {
         let queue = self.catalog.queue(&job.queue);
-        let accepted = self.accepted.get(&id.job).copied().unwrap_or(now);
+        let accepted = self.accepted_at.get(&id.job).copied().unwrap_or(now);
         let pool = self.pool(job);
         let objective = self.objective(job);
-        let lag = self.lag(&pool, job, objective);
+        let lag = self.expected_lag(&pool, job, objective);
         let remaining = job.spec.remaining(|step| self.estimate(&pool, step) + lag);
         let workspace = job.workspace.clone();
         let cap = workspace.as_ref().map(|name| self.catalog.cap(name));
-        Ready {
+        ReadyStep {
             pool,
             workspace,
-            width: cap.map_or(TaskIx::MAX, |cap| cap.max_parallel(&spec.need)),
+            max_parallel: cap.map_or(TaskIx::MAX, |cap| cap.max_parallel(&spec.need)),
             spec: spec.clone(),
             free,
             deadline: accepted + objective,
-            left: remaining
+            remaining_time: remaining
                 .get(usize::from(id.step))
                 .copied()
                 .unwrap_or_default(),
@@ -101,18 +110,23 @@
         }
     }
 
-    /// What each step of a job of a pool is expected to take longer than its tasks.
+    /// By how much each step of a job is expected to take longer than its tasks are estimated to
+    /// take.
+    ///
+    /// The scheduler serves a job by its deadline as long as the job can still be in time. Once
+    /// there is more work than can be done, jobs are served when they can only just be in time.
+    /// Such a job is late by any delay that wasn't expected, and so are all jobs after it. So the
+    /// delay that steps of the pool have recently had is included, scaled by how much of the
+    /// leader's processor is in use. Where hosts are the scarce resource, work that may still be
+    /// late is better served than postponed; the difference was a hundredth of the worth on one
+    /// site, which is within noise.
     ///
-    /// What is served by its deadline as long as it can be in time is served, once there is more of it
-    /// than can be done, when it can only just be: it is late by whatever wasn't reckoned with, and all
-    /// that comes after it too. So what steps of the pool took longer lately is reckoned with, by the
-    /// part that the leader's processor is full: where hosts are what there is too little of, work that
-    /// may be late still is better served than put off (a hundredth of the worth on one site, which is
-    /// within noise). And at most half of the time that the job has to spare is, so that what is served
-    /// at once never counts as late. With 300 agents and four times the work that a leader can start,
-    /// nine tenths of what is done is in time, and a fifth without it (in a world of tests).
-    fn lag(&self, pool: &PoolId, job: &Job, objective: Duration) -> Duration {
-        let learned = self.learned.get(pool).map(Learned::lag);
+    /// At most half of the job's spare time is taken up by this, so that a job that is served at
+    /// once never counts as late. In a test run with 300 agents and four times the work that a
+    /// leader can start, nine tenths of the completed work is in time, and a fifth without this
+    /// delay.
+    fn expected_lag(&self, pool: &PoolId, job: &Job, objective: Duration) -> Duration {
+        let learned = self.learned.get(pool).map(TaskTimes::lag);
         let lag = learned.unwrap_or_default().mul_f64(self.pressure.level());
         if lag.is_zero() {
             return lag;
@@ -120,39 +134,40 @@
         let steps = u32::try_from(job.spec.steps.len())
             .unwrap_or(u32::MAX)
             .max(1);
-        let spare = objective.saturating_sub(self.chain(pool, job));
+        let spare = objective.saturating_sub(self.critical_path(pool, job));
         lag.min(spare / (steps * 2))
     }
 
-    /// About how long a job's longest chain of steps takes.
-    fn chain(&self, pool: &PoolId, job: &Job) -> Duration {
+    /// About how long the job's longest chain of steps takes.
+    fn critical_path(&self, pool: &PoolId, job: &Job) -> Duration {
         let remaining = job.spec.remaining(|step| self.estimate(pool, step));
         remaining.into_iter().max().unwrap_or_default()
     }
 
-    /// How long a job should take: its longest chain, stretched as its queue says, and the queue's
-    /// target.
+    /// How long a job should take: its longest chain of steps, times the stretch of its queue, plus
+    /// the queue's target.
     pub(super) fn objective(&self, job: &Job) -> Duration {
-        let chain = self.chain(&self.pool(job), job);
+        let chain = self.critical_path(&self.pool(job), job);
         let queue = self.catalog.queue(&job.queue);
         let (stretch, target) =
             queue.map_or((1.0, Duration::ZERO), |q| (q.stretch, q.objective_offset));
         chain.mul_f64(stretch.max(1.0)) + target
     }
 
-    /// The pool that runs a job's tasks: what the catalog says now, or said last.
+    /// The pool that runs a job's tasks: the one that its queue has in the catalog, or had last if
+    /// the queue is no longer there.
     pub(super) fn pool(&self, job: &Job) -> PoolId {
         let queue = self.catalog.queue(&job.queue);
         queue.map_or_else(|| job.pool.clone(), |queue| queue.pool.clone())
     }
 
-    /// Stops what is placed of a job that is over.
+    /// Stops the attempts of a job that is over and drops its tasks.
     pub(super) fn end_job(&mut self, now: Now, ledger: &Ledger, id: JobId) {
         self.ready.forget(id);
         self.eligible.forget(id);
         self.suspects.forget(id);
-        let accepted = self.accepted.remove(&id);
-        self.over.push_back((now, id));
+        let accepted = self.accepted_at.remove(&id);
+        self.ended_jobs.push_back((now, id));
         let Some(job) = ledger.job(id) else {
             return;
         };
@@ -162,7 +177,7 @@
             log::info!(job:% = format_args!("{id:016x}"), queue:% = job.queue, state:? = job.state, took:?, objective:?, steps = job.spec.steps.len(); "a job is over");
         }
         for (task, agent) in job.placements(id) {
-            // Where an earlier attempt was done, a later one may still run.
+            // If an earlier attempt completed the task, a later one may still run.
             let done = job.task(task).is_some_and(|t| t.done);
             if !done || job.state == JobState::Cancelled {
                 self.stop(now, &agent, task);
@@ -170,14 +185,14 @@
         }
     }
 
-    /// About how long the tasks of a step take, in the light of what was seen of the pool's.
+    /// About how long the tasks of a step take, corrected by what tasks of the pool took.
     pub(super) fn estimate(&self, pool: &PoolId, spec: &StepSpec) -> Duration {
         let learned = self.learned.get(pool).filter(|_| !spec.long_running);
         learned.map_or(spec.estimate, |learned| learned.estimate(spec.estimate))
     }
 
-    /// Core-milliseconds of a job's short tasks, in thousandths of a core times milliseconds.
-    pub(super) fn work(&self, job: &Job) -> f64 {
+    /// The work of a job's batch tasks, in thousandths of a core times milliseconds.
+    pub(super) fn batch_work(&self, job: &Job) -> f64 {
         let pool = self.pool(job);
         let steps = job.spec.steps.iter().filter(|s| !s.long_running);
         let work = steps.map(|s| {
@@ -187,13 +202,13 @@
         work.sum()
     }
 
-    /// The command to forget the jobs that have been over for long enough, if there are any.
-    pub(super) fn forget(&mut self, now: Now) -> Option<Command> {
+    /// The command to forget the jobs that have been over for the retention time, if there are any.
+    pub(super) fn forget_jobs(&mut self, now: Now) -> Option<Command> {
         let retention = self.settings.retention;
         let due = self
-            .over
+            .ended_jobs
             .partition_point(|(since, _)| now >= *since + retention);
-        let jobs: Vec<_> = self.over.drain(..due).map(|(_, id)| id).collect();
+        let jobs: Vec<_> = self.ended_jobs.drain(..due).map(|(_, id)| id).collect();
         (!jobs.is_empty()).then_some(Command::Forget(jobs))
     }
 }
--- a/src/core/workload/scheduler/mod.rs
+++ b/src/core/workload/scheduler/mod.rs
@@ -1,46 +1,52 @@
-//! What the leader decides: which tasks to start, renew and stop, and where.
+//! Decides, for the leader, which tasks to start, renew and stop, and on which agents.
 //!
-//! A [`Scheduler`] lives as long as its leader's term. It is told of the changes of the ledger, of
-//! the agents' heartbeats and of the answers to its orders, and [`Scheduler::plan`] says what to
-//! commit and what to order. Nothing is started before the attempt is committed, and no end is
-//! acknowledged to its agent before it is.
+//! A [`Scheduler`] exists for one leader's term. It is told of changes to the ledger, of agents'
+//! heartbeats and of the answers to its orders. [`Scheduler::plan`] returns what to commit and
+//! which orders to send. No start is sent before its attempt is committed, and no end of an attempt
+//! is acknowledged to its agent before that end is committed.
 //!
-//! # What is sure
+//! # When an attempt is abandoned
 //!
-//! An order that got no answer may have been carried out, or may be later. So an attempt is given
-//! up only if one of these shows that it doesn't run and never will:
+//! An order that got no answer may have been carried out, or may still be carried out later. So an
+//! attempt is abandoned only if one of these shows that it isn't running and never will:
 //!
-//! - the agent refused its start, and every earlier start of it was answered;
+//! - the agent refused its start, and every earlier start of the attempt was answered;
 //! - the agent acknowledged a stop, after which it refuses the attempt;
-//! - the agent, having seen this leader's term, lists it neither as running nor as ended: orders
-//!   of earlier terms are refused there from then on;
-//! - the agent's incarnation is over;
-//! - its lease has run out by the agent's own clock, counted from the last one that was sent,
+//! - the agent has seen this leader's term and reports the attempt neither as running nor as ended:
+//!   from then on it refuses orders of earlier terms;
+//! - the agent's incarnation has terminated;
+//! - the agent's lease has expired by the agent's own clock. The last lease that was sent counts,
 //!   whether or not it arrived.
 //!
-//! Which incarnation lives at an address is what the address itself says. Orders name the agent that
-//! they are for, and another refuses them; a later incarnation of the same one takes them, and only its
-//! lists tell that it is another. So what was ordered of an incarnation and wasn't seen there is stopped
-//! at the next one before it is given up, and a list of that one is waited for which tells whether it had
-//! ended before. A heartbeat alone ends nobody, as it may be late. Whoever
-//! is heard for the first time gets nothing until it has answered, and its answer ends those that
-//! were known there before.
+//! Which incarnation runs at an address is known only from what answers there. An order names the
+//! agent that it is for, and an agent of another name refuses it. A later incarnation of the same
+//! agent accepts it, and only its reports show that it is another incarnation. So an attempt that
+//! was ordered of one incarnation and never seen there is stopped at the next incarnation before it
+//! is abandoned. The leader also waits for a report of that next incarnation, which tells whether
+//! the attempt had already ended.
 //!
-//! # What was decided before
+//! A heartbeat alone never marks another incarnation as terminated, because it may arrive late. An
+//! agent that is heard from for the first time gets no work until it has answered an order; its
+//! answer marks the incarnations that were known there before as terminated.
 //!
-//! A start is decided by what is known then: that its agent isn't leaving, that its job goes on, that its
-//! workspace may have more. Any of that may change while the start waits for its agent to answer, is
-//! tried again, or stands in a relay that stands still. So each start must begin by a *deadline*, counted
-//! from its decision: the leader doesn't send it later, and the lease that it carries ends then, so that
-//! its agent refuses whatever comes later, whoever held it up. An agent that leaves has been told so after
-//! whatever was decided for it, and takes nothing once that time has passed.
+//! # Start deadlines
 //!
-//! # What a predecessor ordered
+//! A start is decided by what is known at that time: that its agent isn't leaving, that its job
+//! continues, and that its workspace's cap leaves room. Any of these may change while the start
+//! waits for its agent to answer, is retried, or is held in a relay that has stalled. So each start
+//! must begin by a *deadline*, counted from its decision. The leader doesn't send it later, and the
+//! lease that it carries ends then, so the agent refuses a start that arrives later, whatever
+//! delayed it. A leaving agent is notified that its leaving is known only after everything that was
+//! decided for it, and accepts no start once the time to the deadline has passed since then.
 //!
-//! An order is in nobody's log but for what the next leader couldn't find out: that a host was
-//! touched. All else a successor learns from those that got the orders, and until it has, it takes
-//! them for given. Once an agent has seen this term no earlier order is taken there, and what was told
-//! to stop before has ended when the time of a stop is over: what its agent lists after that wasn't.
+//! # Orders of earlier leaders
+//!
+//! Orders aren't committed. The one exception is what the next leader couldn't find out otherwise:
+//! that an order about a host was about to be sent. Everything else a successor learns from the
+//! agents that got the orders. Until it has, it assumes that the orders were given. Once an agent
+//! has seen this term, it accepts no order of an earlier term. Whatever an earlier leader told the
+//! agent to stop has then ended when the longest time that a stop takes has passed, so what the
+//! agent reports as running after that time had not been told to stop.
 
 mod agent;
 mod agents;
@@ -89,11 +95,11 @@
     caps::Proposed,
     eligible::{Eligible, Question},
     hosts::Hosts,
-    learned::Learned,
+    learned::TaskTimes,
     losses::Losses,
     pressure::Pressure,
     probes::Probes,
-    ready::{Queue, Ready},
+    ready::{ReadyQueue, ReadyStep},
     storm::Departures,
     suspects::Suspects,
     touching::Touching,
@@ -110,55 +116,63 @@
     types::{HostId, Map, MinionId, Name, Now, PoolId, Wall, WaveId},
 };
 
-/// Rounds that may be under way in the log at once: one is synced while the next is decided.
-const ROUNDS: usize = 2;
-/// Starts of one round; keeps an entry of the log far below one message.
-const STARTS: usize = 64;
-/// From an answer to the next renewal, while there is time. Ends that come together are told together.
-const GAP: Duration = Duration::from_millis(25);
-/// How long a renewal may wait for an end, where short tasks run and where only lasting ones do.
-/// An agent that has died is noticed only after it, and each look costs.
-const WAIT: (Duration, Duration) = (Duration::from_millis(700), Duration::from_millis(1500));
-/// And where best-effort work is beside work that serves: as long as a throttle takes to show.
-const WATCH: Duration = Duration::from_millis(600);
-/// From one look at an agent that runs nothing to the next, if ends are unacknowledged there or
-/// something may run that isn't placed there. Each look costs.
-const ACK_DELAY: Duration = Duration::from_millis(1200);
-/// From a start or stop that got no answer to the next try.
-const RETRY: Duration = Duration::from_millis(200);
-/// From a failed renewal to the next one.
-const RENEW_RETRY: Duration = Duration::from_millis(300);
-/// How long renewals may fail before the lease is no more extended, so that it ends some time.
-const EXTEND: Duration = Duration::from_millis(1500);
-/// How long after a renewal that fails was sent the provider is asked whether the agent is there.
-const DOUBT: Duration = Duration::from_millis(300);
-/// A start isn't sent in the last part of its time: it may be under way for so long, and a renewal has to
-/// follow it before the lease that it carries is over.
-const SPARE: Duration = Duration::from_millis(300);
-/// How often a start is sent before the attempt is given up.
-const TRIES: u32 = 4;
-/// How long an agent gets nothing after it said that it isn't well.
-const UNWELL: Duration = Duration::from_millis(1500);
-/// The longest that an order which got no answer may be under way: what operators told us of
+/// Rounds that may be in the log at once without being applied: one is synced to disk while the
+/// next is decided.
+const MAX_OPEN_ROUNDS: usize = 2;
+/// Maximum number of starts in one round; keeps a log entry far smaller than one message.
+const MAX_ROUND_STARTS: usize = 64;
+/// Delay from an answer to the next renewal, while there is time. Ends that come within it are
+/// reported together.
+const RENEWAL_GAP: Duration = Duration::from_millis(25);
+/// How long a renewal may wait for an end, at an agent that runs batch tasks and at one that runs
+/// only long-running ones. A dead agent is noticed only after this wait, and each poll costs.
+const RENEWAL_WAIT: (Duration, Duration) =
+    (Duration::from_millis(700), Duration::from_millis(1500));
+/// The same wait at an agent that runs best-effort tasks beside latency-sensitive ones: the time
+/// until the effect of a throttle can be measured.
+const BEST_EFFORT_WAIT: Duration = Duration::from_millis(600);
+/// Delay between polls of an agent that runs nothing, if it has unacknowledged ends or may run an
+/// attempt that isn't placed there. Each poll costs.
+const IDLE_POLL_DELAY: Duration = Duration::from_millis(1200);
+/// Delay from a start or stop that got no answer to the next try.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Delay from a failed renewal to the next one.
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// How long renewals may keep failing before they no longer extend the lease, so that it expires
+/// eventually.
+const EXTENSION_LIMIT: Duration = Duration::from_millis(1500);
+/// Delay from sending a renewal that fails until the provider is asked whether the agent's host is
+/// still there.
+const PROVIDER_QUERY_DELAY: Duration = Duration::from_millis(300);
+/// A start isn't sent within this time before its deadline: it may take as long to arrive, and a
+/// renewal has to follow before the lease that it carries expires.
+const START_MARGIN: Duration = Duration::from_millis(300);
+/// How often a start is sent before the attempt is abandoned.
+const MAX_START_TRIES: u32 = 4;
+/// How long an agent gets no new work after it said that it is unwell.
+const UNWELL_PAUSE: Duration = Duration::from_millis(1500);
+/// The longest that an order without an answer may be in transit, as operators have stated for
 /// their agents.
-const STRAY: Duration = Duration::from_millis(12_500);
-/// Attempts of a task whose queue is gone.
-const ATTEMPTS: u32 = 3;
+const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(12_500);
+/// Attempts of a task whose queue is no longer in the catalog.
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 
-/// What the scheduler is told of the place that it works in.
+/// Time limits of the agents, the provider and the scheduler itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The longest lease that an agent takes.
+    /// The longest lease that an agent accepts.
     pub lease: Duration,
-    /// An agent that wasn't heard for so long gets nothing new.
-    pub silence: Duration,
-    /// From the last order of one leader about a host to the first of another.
-    pub holder: Duration,
+    /// An agent that wasn't heard from for this long gets no new work.
+    pub max_silence: Duration,
+    /// Time that must pass between the last order of one leader about a host and the first order of
+    /// another.
+    pub handover_delay: Duration,
     /// The longest that an agent takes to carry out a stop.
-    pub stop: Duration,
-    /// How long after an agent was told that its leaving is known something may still begin there.
-    pub notice: Duration,
-    /// How long a job that is over is remembered at least.
+    pub max_stop: Duration,
+    /// How long a start may still begin at an agent after the agent was notified that its leaving
+    /// is known.
+    pub start_window: Duration,
+    /// How long a job that is over is kept at least.
     pub retention: Duration,
     /// Which protections are on; for tests.
     pub protections: Protections,
@@ -168,36 +182,40 @@
     fn default() -> Self {
         Self {
             lease: Duration::from_secs(6),
-            silence: Duration::from_secs(4),
-            holder: Duration::from_secs(3),
-            stop: Duration::from_secs(1),
-            notice: Duration::from_secs(6),
+            max_silence: Duration::from_secs(4),
+            handover_delay: Duration::from_secs(3),
+            max_stop: Duration::from_secs(1),
+            start_window: Duration::from_secs(6),
             retention: Duration::from_secs(180),
             protections: Protections::default(),
         }
     }
 }
 
-/// Test-only switches that each take one protection away, so that a test can show that the check
-/// of a promise would notice. Leave them all on.
+/// Test-only switches, each of which turns off one protection, so that a test can show that the
+/// check of a guarantee detects its absence. Leave them all on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Protections {
-    /// A start that got no answer may still be carried out, whatever a later one was answered.
+    /// A start that got no answer counts as possibly carried out, whatever the answer to a later
+    /// one was.
     pub strays: bool,
-    /// What an agent that doesn't answer runs is given up only when its lease has run out.
+    /// Attempts at an agent that doesn't answer are abandoned only when its lease has expired.
     pub lease: bool,
-    /// A new leader gives up what its predecessors placed only once the agent has seen its term.
+    /// A new leader abandons attempts that its predecessors placed only once the agent has seen its
+    /// term.
     pub inherit: bool,
-    /// What is about to be ordered of a host is in the log before, for the next leader to wait.
-    pub touches: bool,
-    /// A host is maintained only when it is empty, or when all that it runs may be away.
+    /// A host is recorded in the log before an order about it goes out, so that the next leader
+    /// waits.
+    pub intents: bool,
+    /// A host is maintained only when it is empty, or when the budgets allow all that it runs to be
+    /// away.
     pub budget: bool,
-    /// What a predecessor may have told to stop counts as away, until an agent has shown that it
-    /// wasn't.
-    pub spent: bool,
-    /// Agents that nothing is placed at are looked at while something may run there.
-    pub looks: bool,
-    /// The end of a host counts against what ran there.
+    /// A task that a predecessor may have told to stop counts as away until an agent has shown that
+    /// it wasn't stopped.
+    pub inherited_stops: bool,
+    /// Agents without placed attempts are polled while something may still run there.
+    pub polls: bool,
+    /// The loss of a host counts against the tasks that ran there.
     pub suspicion: bool,
     /// Nothing is started beyond the cap of its workspace.
     pub caps: bool,
@@ -211,10 +229,10 @@
             strays: true,
             lease: true,
             inherit: true,
-            touches: true,
+            intents: true,
             budget: true,
-            spent: true,
-            looks: true,
+            inherited_stops: true,
+            polls: true,
             suspicion: true,
             caps: true,
             deadlines: true,
@@ -222,78 +240,79 @@
     }
 }
 
-/// What [`Scheduler::plan`] wants done.
+/// The result of [`Scheduler::plan`].
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// To be committed, in order.
+    /// Commands to commit, in order.
     pub commands: Vec<Command>,
-    /// To be sent at once.
+    /// Orders to send at once.
     pub orders: Vec<Order>,
-    /// For each attempt that is placed, how long ago its agent was heard.
-    pub ages: Vec<Duration>,
-    /// For each start that is sent, how long ago it was decided.
-    pub delays: Vec<Duration>,
-    /// How many agents, and steps that wait, were looked at for it.
-    pub looks: usize,
+    /// For each attempt placed since the last plan, how long before that its agent was last heard
+    /// from.
+    pub agent_ages: Vec<Duration>,
+    /// For each start sent since the last plan, the time from its decision to sending it.
+    pub start_delays: Vec<Duration>,
+    /// How many agents and waiting steps were visited to make this plan.
+    pub visits: usize,
 }
 
-/// The decisions of one leader.
+/// The state of one leader's scheduling decisions.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     settings: Settings,
     term: Term,
-    began: Now,
+    started_at: Now,
     catalog: Arc<Catalog>,
     agents: Agents,
-    ready: Queue,
+    ready: ReadyQueue,
     /// Occurrences that aren't due yet.
-    timed: BTreeSet<(Wall, JobId, Occurrence)>,
-    /// Jobs that are over, and since when this leader knows, in that order.
-    over: VecDeque<(Now, JobId)>,
-    /// When each job that this leader knows was accepted, by our clock.
-    accepted: Map<JobId, Now>,
-    /// Orders that wait for their answers.
+    upcoming: BTreeSet<(Wall, JobId, Occurrence)>,
+    /// Jobs that are over and when this leader learnt of it, ordered by that time.
+    ended_jobs: VecDeque<(Now, JobId)>,
+    /// When each job that this leader knows was accepted, by the leader's clock.
+    accepted_at: Map<JobId, Now>,
+    /// Orders without an answer so far.
     pending: Map<OrderId, Pending>,
     last_order: OrderId,
     /// Ends that agents reported and that aren't proposed yet.
     ends: BTreeMap<MinionId, EndBatch>,
-    /// Attempts that surely don't run.
-    freed: Vec<Placement>,
-    /// Attempts that may never have begun, which a successor has to know.
-    unbegun: Vec<Placement>,
-    /// Incarnations that are over.
-    gone: BTreeSet<MinionId>,
-    /// Those in whose place a later one lives, until they are over.
+    /// Attempts that certainly don't run, to be committed as such.
+    abandoned: Vec<Placement>,
+    /// Attempts that may never have started, which a successor has to know.
+    not_started: Vec<Placement>,
+    /// Incarnations that have terminated, to be committed as such.
+    terminated: BTreeSet<MinionId>,
+    /// Incarnations that a later one of the same agent has replaced and that aren't yet removed.
     replaced: BTreeSet<MinionId>,
-    /// Until when a start of this leader's that got no answer may be carried out, also at agents
-    /// that were taken for gone.
+    /// Until when a start sent by this leader that got no answer may still be carried out, by
+    /// agent. Agents that were taken for lost are included.
     strays: BTreeMap<MinionId, Now>,
-    /// Rounds that were proposed and aren't applied.
-    rounds: usize,
-    /// What they place, by workspace.
+    /// Rounds that were proposed and aren't applied yet.
+    open_rounds: usize,
+    /// The attempts that these rounds place, summed by workspace.
     proposed: Proposed,
     hosts: Hosts,
     touching: Touching,
     eligible: Eligible,
     /// How long the tasks of each pool take.
-    learned: BTreeMap<PoolId, Learned>,
+    learned: BTreeMap<PoolId, TaskTimes>,
     pressure: Pressure,
     suspects: Suspects,
     probes: Probes,
     losses: Losses,
     departures: Departures,
-    /// Hosts whose maintenance has begun, by wave.
+    /// Hosts whose maintenance has begun, by wave, to be committed as such.
     maintained: Vec<(WaveId, HostId)>,
     orders: Vec<Order>,
-    /// How long ago the agents were heard that got something since the last plan.
-    ages: Vec<Duration>,
-    /// How long ago the starts were decided that were sent since then.
-    delays: Vec<Duration>,
+    /// See [`Plan::agent_ages`].
+    agent_ages: Vec<Duration>,
+    /// See [`Plan::start_delays`].
+    start_delays: Vec<Duration>,
     /// Whether an agent has seen a later leader.
     superseded: bool,
 }
 
-/// An order that waits for its answer.
+/// An order without an answer so far.
 #[derive(Clone, Debug)]
 struct Pending {
     sent: Now,
@@ -306,8 +325,8 @@
     Start(MinionId, TaskId),
     Stop(MinionId, TaskId),
     Throttle(MinionId, TaskId),
-    /// A stop of what shouldn't be there.
-    Sweep(MinionId),
+    /// A stop of an attempt that isn't placed at the agent.
+    StopUnplaced(MinionId),
     Renew {
         agent: MinionId,
         acked: u64,
@@ -315,13 +334,14 @@
         extends: bool,
     },
     Hosts,
-    Duty(HostId),
-    /// Where a step may run.
+    Operation(HostId),
+    /// A question which agents may run a step.
     Eligible(Question),
 }
 
 impl Scheduler {
-    /// The decisions of a leader that begins now, with what its predecessors committed.
+    /// Creates the scheduler of a leader whose term begins now, from what its predecessors
+    /// committed.
     pub fn new(
         now: Now,
         wall: Wall,
@@ -333,25 +353,25 @@
         let mut scheduler = Self {
             settings,
             term,
-            began: now,
+            started_at: now,
             catalog,
             agents: Agents::default(),
-            ready: Queue::default(),
-            timed: BTreeSet::new(),
-            over: VecDeque::new(),
-            accepted: Map::default(),
+            ready: ReadyQueue::default(),
+            upcoming: BTreeSet::new(),
+            ended_jobs: VecDeque::new(),
+            accepted_at: Map::default(),
             pending: Map::default(),
             last_order: 0,
             ends: BTreeMap::new(),
-            freed: Vec::new(),
-            unbegun: Vec::new(),
-            gone: BTreeSet::new(),
+            abandoned: Vec::new(),
+            not_started: Vec::new(),
+            terminated: BTreeSet::new(),
             replaced: BTreeSet::new(),
             strays: BTreeMap::new(),
-            rounds: 0,
+            open_rounds: 0,
             proposed: Proposed::default(),
             hosts: Hosts::default(),
-            touching: Touching::new(now, settings.holder, ledger.intents()),
+            touching: Touching::new(now, settings.handover_delay, ledger.intents()),
             eligible: Eligible::default(),
             learned: BTreeMap::new(),
             pressure: Pressure::default(),
@@ -361,8 +381,8 @@
             departures: Departures::default(),
             maintained: Vec::new(),
             orders: Vec::new(),
-            ages: Vec::new(),
-            delays: Vec::new(),
+            agent_ages: Vec::new(),
+            start_delays: Vec::new(),
             superseded: false,
         };
         let mut tenants: Map<SocketAddr, usize> = Map::default();
@@ -375,14 +395,14 @@
         }
         for (id, job) in ledger.jobs() {
             if job.has_ended() {
-                // An earlier leader may not have come to stop what it left, and how long ago the
-                // job ended isn't known: wall clocks jump.
+                // An earlier leader may not have stopped all of the job's attempts. How long ago
+                // the job ended is unknown, as wall clocks jump, so its retention starts anew.
                 scheduler.end_job(now, ledger, id);
                 continue;
             }
             let age = wall.saturating_sub(job.accepted_at);
-            scheduler.accepted.insert(id, now.saturating_sub(age));
-            scheduler.take_job(now, wall, id, job);
+            scheduler.accepted_at.insert(id, now.saturating_sub(age));
+            scheduler.open_job(now, wall, id, job);
             for (task, evidence) in job.task_evidence(id) {
                 scheduler.suspect(job, task, evidence);
             }
@@ -391,13 +411,13 @@
         scheduler
     }
 
-    /// Another catalog is in force.
-    pub fn declare(&mut self, now: Now, catalog: Arc<Catalog>, ledger: &Ledger) {
+    /// Switches to another catalog.
+    pub fn set_catalog(&mut self, now: Now, catalog: Arc<Catalog>, ledger: &Ledger) {
         self.catalog = catalog;
         let steps: Vec<_> = self.ready.iter().map(|(step, _)| step).collect();
         for step in steps {
             if let Some(job) = ledger.job(step.job) {
-                self.open(now, step, job);
+                self.open_step(now, step, job);
             }
         }
     }
@@ -407,13 +427,14 @@
         self.superseded
     }
 
-    /// An agent's heartbeat came in, with what it says of itself and of its clock; what is to be
-    /// committed for it, if anything.
+    /// Takes in an agent's heartbeat, with the agent's record and its clock. Returns the command to
+    /// commit for it, if there is one.
     ///
-    /// Heartbeats may come late: after their sender's end, or after newer ones. Nothing to be committed means
-    /// that it may be acknowledged: so an older one that says that the agent leaves is proposed too, as long
-    /// as that isn't committed, though a newer one that says the same may be under way.
-    pub fn heard(
+    /// A heartbeat may be late: it may arrive after its sender has terminated, or after newer
+    /// heartbeats. If there is nothing to commit, the heartbeat may be acknowledged. So an older
+    /// heartbeat that says that the agent is leaving is proposed as well until the leaving is
+    /// committed, even if a newer heartbeat with the same content is already being committed.
+    pub fn heartbeat(
         &mut self,
         now: Now,
         ledger: &Ledger,
@@ -437,8 +458,8 @@
         news.then(|| Command::Agent(Box::new(record.clone())))
     }
 
-    /// A command was applied, and changed something.
-    pub fn applied(
+    /// Takes in a command that was applied and changed something.
+    pub fn apply(
         &mut self,
         now: Now,
         wall: Wall,
@@ -447,13 +468,13 @@
         changes: &[Change],
     ) {
         for change in changes {
-            self.change(now, wall, ledger, change);
+            self.apply_change(now, wall, ledger, change);
         }
         if let Command::Round(round) = command {
-            self.rounds = self.rounds.saturating_sub(1);
+            self.open_rounds = self.open_rounds.saturating_sub(1);
             for start in &round.starts {
                 self.proposed.remove(start.task);
-                self.check_start(now, ledger, start);
+                self.confirm_start(now, ledger, start);
             }
             self.touch_applied(now, round);
         }
@@ -465,23 +486,23 @@
             return Plan::default();
         }
         self.agents.stir_due(now);
-        self.open_due(now, wall, ledger);
-        self.settle_replaced(now);
-        let mut gone = std::mem::take(&mut self.gone);
+        self.open_due_occurrences(now, wall, ledger);
+        self.retire_replaced(now);
+        let mut gone = std::mem::take(&mut self.terminated);
         gone.retain(|agent| ledger.agent(agent).is_some());
         let mut commands = self.bury(now, wall, &gone);
         for (wave, host) in std::mem::take(&mut self.maintained) {
             let hosts = vec![host];
             commands.push(Command::Maintained { wave, hosts });
         }
-        commands.extend(self.forget(now));
+        commands.extend(self.forget_jobs(now));
         self.expire_leases(now);
         self.forget_strays(now);
-        self.tend_hosts(now, wall, ledger);
-        if self.rounds < ROUNDS {
-            let round = self.round(now, wall, ledger);
+        self.manage_hosts(now, wall, ledger);
+        if self.open_rounds < MAX_OPEN_ROUNDS {
+            let round = self.build_round(now, wall, ledger);
             if !round.is_empty() {
-                self.rounds += 1;
+                self.open_rounds += 1;
                 commands.push(Command::Round(round));
             }
         }
@@ -493,15 +514,15 @@
         Plan {
             commands,
             orders: std::mem::take(&mut self.orders),
-            ages: std::mem::take(&mut self.ages),
-            delays: std::mem::take(&mut self.delays),
-            looks: self.agents.take_looks() + self.ready.take_looks(),
+            agent_ages: std::mem::take(&mut self.agent_ages),
+            start_delays: std::mem::take(&mut self.start_delays),
+            visits: self.agents.take_looks() + self.ready.take_visits(),
         }
     }
 
-    /// Has the next plan look at all agents and not only at those that something is due for. It
-    /// decides the same: for tests, which compare the two.
-    pub fn look_at_all(&mut self) {
+    /// Makes the next plan visit all agents instead of only those that have something due. The
+    /// decisions are the same; tests compare the two.
+    pub fn visit_all(&mut self) {
         self.agents.stir_all();
     }
 
@@ -515,18 +536,18 @@
         self.agents.values().map(|agent| agent.slots.len()).sum()
     }
 
-    /// How many orders wait for their answers.
+    /// How many orders have no answer so far.
     pub fn under_way(&self) -> usize {
         self.pending.len()
     }
 
     /// How many agents don't answer.
-    pub fn silent(&self) -> usize {
+    pub fn unresponsive(&self) -> usize {
         let agents = self.agents.values();
         agents.filter(|agent| agent.trouble.is_some()).count()
     }
 
-    fn order(&mut self, now: Now, about: About, what: What) -> OrderId {
+    fn send_order(&mut self, now: Now, about: About, what: What) -> OrderId {
         self.last_order += 1;
         let id = self.last_order;
         self.pending.insert(id, Pending { sent: now, about });
--- a/src/core/workload/scheduler/ready.rs
+++ b/src/core/workload/scheduler/ready.rs
@@ -1,11 +1,12 @@
-//! Tasks that may be started, and in which order.
+//! Keeps the tasks that may be started, and the order in which they are served.
 //!
-//! Lasting work goes first: it earns as long as it stands. Then comes what can still meet its
-//! objective, the most urgent first, and last what can't any more, which mustn't make others late
-//! too.
+//! Long-running tasks go first, because they earn as long as they run. Then come tasks that can
+//! still meet their job's objective, the most urgent first. Last come those that can't meet it any
+//! more, which mustn't make others late too.
 //!
-//! The order is kept and not made anew: a backlog is longest when the leader has least time, and what
-//! a look costs mustn't grow with it. The same holds for what a pool's steps wait for in all.
+//! The order is maintained incrementally instead of being computed for each plan: the backlog is
+//! longest when the leader has the least time, and the cost of a plan mustn't grow with it. The
+//! totals of what a pool's steps wait for are maintained in the same way.
 
 use std::{
     cell::Cell,
@@ -25,27 +26,27 @@
 
 /// The tasks of a step that may be started.
 #[derive(Clone, Debug)]
-pub(super) struct Ready {
+pub(super) struct ReadyStep {
     /// The pool whose agents may run them.
     pub(super) pool: PoolId,
-    /// The workspace that their job is of, and how many of them its cap lets run at once.
+    /// The workspace of their job, and how many of the step's tasks its cap lets run at once.
     pub(super) workspace: Option<WorkspaceId>,
-    pub(super) width: TaskIx,
-    /// What they are.
+    pub(super) max_parallel: TaskIx,
+    /// The step.
     pub(super) spec: StepSpec,
-    /// Which.
+    /// The tasks that wait to be started.
     pub(super) free: BTreeSet<TaskIx>,
-    /// When their job should be through.
+    /// When their job should be complete.
     pub(super) deadline: Now,
-    /// About how long it takes from here to the job's end.
-    pub(super) left: Duration,
+    /// About how long it takes from the start of this step to the end of the job.
+    pub(super) remaining_time: Duration,
     /// The queue's priority.
     pub(super) priority: u32,
-    /// What it costs to ask where its tasks may run, if that must be asked.
+    /// What a question where the tasks may run costs, if one has to be asked.
     pub(super) eligibility: Option<Eligibility>,
 }
 
-/// The place of a step among those that are ready; the lowest is served first.
+/// The position of a ready step; the lowest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     class: Class,
@@ -54,19 +55,19 @@
     step: StepId,
 }
 
-/// Which steps go before others, whatever their deadlines.
+/// Classes of steps, which go before deadlines in the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
-    Lasting,
+    LongRunning,
     InTime,
     Late,
 }
 
-impl Ready {
+impl ReadyStep {
     fn rank(&self, now: Now, step: StepId) -> Rank {
         let class = if self.spec.long_running {
-            Class::Lasting
-        } else if self.lapse().is_some_and(|lapse| now <= lapse) {
+            Class::LongRunning
+        } else if self.latest_start().is_some_and(|lapse| now <= lapse) {
             Class::InTime
         } else {
             Class::Late
@@ -79,9 +80,9 @@
         }
     }
 
-    /// Until when it can be in time; `None` if it never could.
-    fn lapse(&self) -> Option<Now> {
-        self.deadline.checked_sub(self.left)
+    /// The latest time at which its job can still be in time; `None` if it never could.
+    fn latest_start(&self) -> Option<Now> {
+        self.deadline.checked_sub(self.remaining_time)
     }
 
     /// Thousandths of a core that its free tasks wait for.
@@ -99,85 +100,86 @@
 
 /// All steps with tasks that may be started.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Queue {
+pub(super) struct ReadyQueue {
     steps: BTreeMap<StepId, Entry>,
-    pools: BTreeMap<PoolId, Line>,
+    pools: BTreeMap<PoolId, PoolQueue>,
     /// Thousandths of a core that the free tasks of each workspace wait for, in all pools.
     millicores: BTreeMap<WorkspaceId, u64>,
-    /// When steps that can be in time no longer can.
-    lapses: BTreeSet<(Now, StepId)>,
-    /// How many steps were looked at by walks.
-    looks: Cell<usize>,
+    /// When steps that can still be in time no longer can.
+    latest_starts: BTreeSet<(Now, StepId)>,
+    /// How many steps were visited.
+    visits: Cell<usize>,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    ready: Ready,
-    /// Its place in the line of its pool.
+    ready: ReadyStep,
+    /// Its position in the line of its pool.
     rank: Rank,
 }
 
 /// The steps of a pool that have free tasks.
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct PoolQueue {
     ranks: BTreeSet<Rank>,
-    /// How many steps have tasks that take so many thousandths of a core.
-    rooms: BTreeMap<u64, usize>,
-    /// How many steps need so many hosts, also of those that have no free tasks now.
+    /// The number of steps by the thousandths of a core that each of their tasks takes.
+    task_sizes: BTreeMap<u64, usize>,
+    /// The number of steps by how many hosts each needs, including steps without free tasks.
     spreads: BTreeMap<usize, usize>,
-    waiting: Waiting,
-    /// The part of it that is of each workspace.
-    held: BTreeMap<WorkspaceId, Waiting>,
+    waiting: WaitingLoad,
+    /// The part of `waiting` that belongs to each workspace.
+    by_workspace: BTreeMap<WorkspaceId, WaitingLoad>,
 }
 
 /// What the free tasks of a pool wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Waiting {
-    /// Thousandths of a core of all of them.
+pub(super) struct WaitingLoad {
+    /// Thousandths of a core of all tasks.
     pub(super) all: u64,
-    /// Thousandths of a core of those that end by themselves.
-    pub(super) short: u64,
-    /// Hosts without which a step can't keep its tasks apart, also one whose tasks all run.
+    /// Thousandths of a core of batch tasks, which finish by themselves.
+    pub(super) batch: u64,
+    /// The most hosts that any step needs to keep its tasks apart, including a step whose tasks all
+    /// run.
     pub(super) spread: usize,
 }
 
-impl Waiting {
-    fn add(&mut self, ready: &Ready) {
+impl WaitingLoad {
+    fn add(&mut self, ready: &ReadyStep) {
         self.all += ready.millicores();
         if !ready.spec.long_running {
-            self.short += ready.millicores();
+            self.batch += ready.millicores();
         }
     }
 
-    fn take(&mut self, ready: &Ready) {
+    fn take(&mut self, ready: &ReadyStep) {
         self.all -= ready.millicores();
         if !ready.spec.long_running {
-            self.short -= ready.millicores();
+            self.batch -= ready.millicores();
         }
     }
 }
 
-impl Line {
-    fn waiting(&self) -> Waiting {
+impl PoolQueue {
+    fn waiting(&self) -> WaitingLoad {
         let spread = self.spreads.keys().next_back().copied();
-        Waiting {
+        WaitingLoad {
             spread: spread.unwrap_or_default(),
             ..self.waiting
         }
     }
 }
 
-impl Queue {
-    pub(super) fn get(&self, step: StepId) -> Option<&Ready> {
+impl ReadyQueue {
+    pub(super) fn get(&self, step: StepId) -> Option<&ReadyStep> {
         self.steps.get(&step).map(|entry| &entry.ready)
     }
 
-    /// Takes a step in, in place of what was known of it.
-    pub(super) fn insert(&mut self, now: Now, step: StepId, ready: Ready) {
+    /// Adds a step, replacing what was known of it.
+    pub(super) fn insert(&mut self, now: Now, step: StepId, ready: ReadyStep) {
         self.remove(step);
         let rank = ready.rank(now, step);
-        if let Some(lapse) = ready.lapse().filter(|_| rank.class == Class::InTime) {
-            self.lapses.insert((lapse, step));
+        if let Some(lapse) = ready.latest_start().filter(|_| rank.class == Class::InTime) {
+            self.latest_starts.insert((lapse, step));
         }
         let line = self.pools.entry(ready.pool.clone()).or_default();
         *line.spreads.entry(spread(&ready)).or_default() += 1;
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Takes a task out, if it waits: it is being started, or never runs again.
+    /// Removes a task, if it is free: it is being started, or never runs again.
     pub(super) fn take(&mut self, step: StepId, task: TaskIx) {
         let ready = self.get(step);
         if ready.is_some_and(|ready| ready.free.contains(&task)) {
@@ -210,15 +212,19 @@
         }
     }
 
-    /// Puts a task back; whether its step is known.
+    /// Puts a task back. Returns whether its step is known.
     pub(super) fn free(&mut self, step: StepId, task: TaskIx) -> bool {
         self.change(step, |free| free.insert(task))
     }
 
-    /// Has steps that can no longer be in time go behind those that can.
-    pub(super) fn lapse(&mut self, now: Now) {
-        while self.lapses.first().is_some_and(|(lapse, _)| *lapse < now) {
-            let Some((_, step)) = self.lapses.pop_first() else {
+    /// Moves steps that can no longer be in time behind those that can.
+    pub(super) fn demote_late(&mut self, now: Now) {
+        while self
+            .latest_starts
+            .first()
+            .is_some_and(|(lapse, _)| *lapse < now)
+        {
+            let Some((_, step)) = self.latest_starts.pop_first() else {
                 return;
             };
             let Some(mut entry) = self.steps.remove(&step) else {
@@ -231,17 +237,17 @@
         }
     }
 
-    /// The next step of a pool to be served after another, or the first.
+    /// The step of a pool to be served next after another, or the first.
     pub(super) fn next(&self, pool: &PoolId, after: Option<Rank>) -> Option<Rank> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        self.look();
+        self.count_visit();
         let line = self.pools.get(pool)?;
         line.ranks.range((from, Bound::Unbounded)).next().copied()
     }
 
     /// The fewest thousandths of a core that a free task of a pool takes.
-    pub(super) fn least(&self, pool: &PoolId) -> Option<u64> {
-        self.pools.get(pool)?.rooms.keys().next().copied()
+    pub(super) fn min_millicores(&self, pool: &PoolId) -> Option<u64> {
+        self.pools.get(pool)?.task_sizes.keys().next().copied()
     }
 
     /// The pools with free tasks.
@@ -251,14 +257,14 @@
     }
 
     /// What the steps of each pool wait for.
-    pub(super) fn waiting(&self) -> impl Iterator<Item = (&PoolId, Waiting)> {
+    pub(super) fn waiting(&self) -> impl Iterator<Item = (&PoolId, WaitingLoad)> {
         self.pools.iter().map(|(pool, line)| (pool, line.waiting()))
     }
 
     /// What the steps of each workspace wait for in a pool.
-    pub(super) fn held(&self, pool: &PoolId) -> impl Iterator<Item = (&WorkspaceId, Waiting)> {
+    pub(super) fn held(&self, pool: &PoolId) -> impl Iterator<Item = (&WorkspaceId, WaitingLoad)> {
         let held = self.pools.get(pool).into_iter();
-        let held = held.flat_map(|line| &line.held);
+        let held = held.flat_map(|line| &line.by_workspace);
         held.map(|(workspace, held)| (workspace, *held))
     }
 
@@ -267,18 +273,18 @@
         self.millicores.get(workspace).copied().unwrap_or_default()
     }
 
-    /// All steps that are ready.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (StepId, &Ready)> {
-        let steps = self.steps.iter().inspect(|_| self.look());
+    /// All steps with ready tasks, including steps whose tasks are all placed.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (StepId, &ReadyStep)> {
+        let steps = self.steps.iter().inspect(|_| self.count_visit());
         steps.map(|(id, entry)| (*id, &entry.ready))
     }
 
-    /// How many steps were looked at since this was asked last.
-    pub(super) fn take_looks(&self) -> usize {
-        self.looks.take()
+    /// How many steps were visited since the last call.
+    pub(super) fn take_visits(&self) -> usize {
+        self.visits.take()
     }
 
-    /// Changes which tasks of a step are free; whether the step is known.
+    /// Changes which tasks of a step are free. Returns whether the step is known.
     fn change(&mut self, step: StepId, change: impl FnOnce(&mut BTreeSet<TaskIx>) -> bool) -> bool {
         let Some(mut entry) = self.steps.remove(&step) else {
             return false;
@@ -294,47 +300,50 @@
         let Some(Entry { ready, rank }) = self.steps.remove(&step) else {
             return;
         };
-        if let Some(lapse) = ready.lapse() {
-            self.lapses.remove(&(lapse, step));
+        if let Some(lapse) = ready.latest_start() {
+            self.latest_starts.remove(&(lapse, step));
         }
         self.leave(&ready, rank);
         if let Some(line) = self.pools.get_mut(&ready.pool) {
-            less(&mut line.spreads, spread(&ready));
+            decrement(&mut line.spreads, spread(&ready));
         }
     }
 
-    /// Puts a step into the line of its pool, if it has free tasks.
-    fn enter(&mut self, ready: &Ready, rank: Rank) {
+    /// Adds a step to the line of its pool, if it has free tasks.
+    fn enter(&mut self, ready: &ReadyStep, rank: Rank) {
         if ready.free.is_empty() {
             return;
         }
         let line = self.pools.entry(ready.pool.clone()).or_default();
         line.ranks.insert(rank);
         *line
-            .rooms
+            .task_sizes
             .entry(ready.spec.reservation().millicores)
             .or_default() += 1;
         line.waiting.add(ready);
         if let Some(workspace) = &ready.workspace {
-            line.held.entry(workspace.clone()).or_default().add(ready);
+            line.by_workspace
+                .entry(workspace.clone())
+                .or_default()
+                .add(ready);
             *self.millicores.entry(workspace.clone()).or_default() += ready.millicores();
         }
     }
 
-    /// Undoes what [`Queue::enter`] did.
-    fn leave(&mut self, ready: &Ready, rank: Rank) {
+    /// Undoes [`ReadyQueue::enter`].
+    fn leave(&mut self, ready: &ReadyStep, rank: Rank) {
         let Some(line) = self.pools.get_mut(&ready.pool) else {
             return;
         };
         if !line.ranks.remove(&rank) {
             return;
         }
-        less(&mut line.rooms, ready.spec.reservation().millicores);
+        decrement(&mut line.task_sizes, ready.spec.reservation().millicores);
         line.waiting.take(ready);
         let Some(workspace) = &ready.workspace else {
             return;
         };
-        if let Some(held) = line.held.get_mut(workspace) {
+        if let Some(held) = line.by_workspace.get_mut(workspace) {
             held.take(ready);
         }
         if let Some(millicores) = self.millicores.get_mut(workspace) {
@@ -342,13 +351,13 @@
         }
     }
 
-    fn look(&self) {
-        self.looks.set(self.looks.get() + 1);
+    fn count_visit(&self) {
+        self.visits.set(self.visits.get() + 1);
     }
 }
 
-/// Counts one less of a key.
-fn less<K: Ord>(counts: &mut BTreeMap<K, usize>, key: K) {
+/// Decrements the count of a key, and removes it at zero.
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, usize>, key: K) {
     if let btree_map::Entry::Occupied(mut count) = counts.entry(key) {
         *count.get_mut() -= 1;
         if *count.get() == 0 {
@@ -357,12 +366,12 @@
     }
 }
 
-/// Hosts that a step needs for its tasks to be apart, and one more to move them to.
-fn spread(ready: &Ready) -> usize {
+/// The number of hosts that a step needs to keep its tasks apart, plus one to move a task to.
+fn spread(ready: &ReadyStep) -> usize {
     let spec = &ready.spec;
-    // What is short can run one after the other.
+    // Batch tasks can run one after the other.
     let apart = spec.per_host.filter(|_| spec.long_running);
-    let tasks = spec.tasks.min(ready.width);
+    let tasks = spec.tasks.min(ready.max_parallel);
     let apart = apart.map_or(1, |most| tasks.div_ceil(most.max(1)));
     usize::try_from(apart)
         .unwrap_or(usize::MAX)
--- a/src/core/workload/scheduler/starts.rs
+++ b/src/core/workload/scheduler/starts.rs
@@ -1,4 +1,8 @@
-//! What is started where, and the orders that say so.
+//! Decides what is started at which agent, and sends the starts and stops.
+//!
+//! Each round, the waiting steps of each pool are visited in their order, and their tasks are
+//! placed at agents that may get new work and have the room, within the caps of their workspaces. A
+//! start is sent only once the round that placed it is committed, and not after its deadline.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -6,46 +10,48 @@
 };
 
 use super::{
-    ATTEMPTS, About, Agent, EndBatch, GAP, Ledger, MinionId, Name, Now, Phase, Placement, PoolId,
-    Round, STARTS, Scheduler, Slot, StartOrder, StepId, StepSpec, TaskId, Wall, What,
-    place::{self, Choice},
+    About, Agent, DEFAULT_MAX_ATTEMPTS, EndBatch, Ledger, MAX_ROUND_STARTS, MinionId, Name, Now,
+    Phase, Placement, PoolId, RENEWAL_GAP, Round, Scheduler, Slot, StartOrder, StepId, StepSpec,
+    TaskId, Wall, What,
+    place::{self, AgentRanking},
 };
 use crate::core::{
     types::Resources,
     workload::{catalog::JobId, command::Ending, job::JobState},
 };
 
-/// A start that is sent so long after it was decided is logged: a commit and a turn take a tenth of it.
-const PROMPT: Duration = Duration::from_millis(500);
+/// A start that is sent later than this after its decision is logged. A commit and a plan take a
+/// tenth of this time.
+const LATE_START_DELAY: Duration = Duration::from_millis(500);
 
 impl Scheduler {
-    /// What one round commits: ends and frees, and starts for what is ready.
-    pub(super) fn round(&mut self, now: Now, wall: Wall, ledger: &Ledger) -> Round {
+    /// What one round commits: ended and abandoned attempts, and starts of ready tasks.
+    pub(super) fn build_round(&mut self, now: Now, wall: Wall, ledger: &Ledger) -> Round {
         let ends: Vec<_> = std::mem::take(&mut self.ends).into_values().collect();
-        let failed = self.failed(ledger, &ends);
+        let failed = self.failed_jobs(ledger, &ends);
         let cleared = self.clear_suspects(now, ledger);
         self.review_probes(now);
         let mut round = Round {
             ends,
-            freed: std::mem::take(&mut self.freed),
+            freed: std::mem::take(&mut self.abandoned),
             failed,
             starts: Vec::new(),
             intent: self.touch(now),
             poison_tasks: self.suspects.take_convicted(),
             cleared,
-            not_started: std::mem::take(&mut self.unbegun),
+            not_started: std::mem::take(&mut self.not_started),
             at: wall,
         };
-        self.ready.lapse(now);
+        self.ready.demote_late(now);
         self.agents.index();
         for pool in self.ready.pools() {
-            self.fill(now, ledger, &pool, &mut round.starts);
+            self.fill_pool(now, ledger, &pool, &mut round.starts);
         }
         round
     }
 
-    /// Jobs that these ends make fail for good.
-    pub(super) fn failed(&self, ledger: &Ledger, ends: &[EndBatch]) -> Vec<JobId> {
+    /// The jobs that fail for good because of these ends.
+    pub(super) fn failed_jobs(&self, ledger: &Ledger, ends: &[EndBatch]) -> Vec<JobId> {
         let mut counts: BTreeMap<TaskId, u32> = BTreeMap::new();
         let all = ends.iter().flat_map(|ends| &ends.ends);
         for end in all.filter(|end| end.how == Ending::Failed) {
@@ -61,15 +67,15 @@
                 job.task(*task)?.failures
             };
             let queue = self.catalog.queue(&job.queue);
-            let most = queue.map_or(ATTEMPTS, |queue| queue.max_attempts.max(1));
+            let most = queue.map_or(DEFAULT_MAX_ATTEMPTS, |queue| queue.max_attempts.max(1));
             (!spec.long_running && before + count >= most).then_some(task.step.job)
         };
         let failed: BTreeSet<_> = counts.iter().filter_map(hopeless).collect();
         failed.into_iter().collect()
     }
 
-    /// Starts what is ready for a pool as long as its agents have room.
-    pub(super) fn fill(
+    /// Starts ready tasks of a pool while its agents have room.
+    pub(super) fn fill_pool(
         &mut self,
         now: Now,
         ledger: &Ledger,
@@ -77,14 +83,14 @@
         starts: &mut Vec<Placement>,
     ) {
         self.start_on_probes(now, ledger, pool, starts);
-        // Under overload hundreds of steps wait and no agent has room; looking at each agent for each
-        // of them took two thirds of the leader's time with 300 agents (profiled in a world of tests).
-        // Not known as long as all has found a place.
+        // The largest free room among the pool's agents, set once a task found no agent. Under
+        // overload hundreds of steps wait and no agent has room. Visiting each agent for each of
+        // them took two thirds of the leader's time with 300 agents (profiled in a test run).
         let mut widest: Option<Resources> = None;
         let mut last = None;
         let mut apart = self.apart_in(ledger, pool);
-        while starts.len() < STARTS
-            && let Some(least) = self.ready.least(pool)
+        while starts.len() < MAX_ROUND_STARTS
+            && let Some(least) = self.ready.min_millicores(pool)
             && widest.is_none_or(|widest| least <= widest.millicores)
         {
             let Some(rank) = self.ready.next(pool, last) else {
@@ -116,13 +122,13 @@
             };
             let step = rank.step();
             let tasks = ready.free.iter().map(|task| TaskId { step, task: *task });
-            // What hosts have ended under was started above, or waits.
+            // Tasks under which hosts were lost were started above, or wait.
             let tasks = tasks.filter(|task| {
                 self.suspects.get(*task).is_none()
                     && self.suspects.unit(*task, spec.long_running).is_none()
             });
             let tasks: Vec<_> = tasks.collect();
-            if tasks.is_empty() || !self.may_start(ledger, step, &spec, 1) {
+            if tasks.is_empty() || !self.cap_allows(ledger, step, &spec, 1) {
                 self.ask_eligible(now, pool, step, &spec);
                 continue;
             }
@@ -130,17 +136,17 @@
             if found.is_some_and(|job| job.state == JobState::Queued && apart.is_full(job)) {
                 continue;
             }
-            let able = self.able(now, pool, spec.reservation().millicores);
+            let able = self.agents_accepting_work(now, pool, spec.reservation().millicores);
             let able = able.filter(|agent| !asked || self.is_eligible(now, step, agent));
             let able = able
                 .filter(|agent| spec.long_running || self.may_share(ledger, &apart, agent, job));
-            let mut choice = Choice::new(now, able, &spec, step);
+            let mut choice = AgentRanking::new(now, able, &spec, step);
             for task in tasks {
-                if !self.may_start(ledger, step, &spec, 1) {
+                if !self.cap_allows(ledger, step, &spec, 1) {
                     break;
                 }
                 let Some(agent) = choice.take() else {
-                    widest = Some(self.widest(now, pool));
+                    widest = Some(self.largest_free(now, pool));
                     if let Some(job) = found {
                         apart.note_full(job);
                     }
@@ -148,7 +154,7 @@
                 };
                 let placed = Placement {
                     task,
-                    attempt: attempts(ledger, task) + 1,
+                    attempt: decided_attempts(ledger, task) + 1,
                     agent: agent.clone(),
                 };
                 self.propose(now, ledger, &spec, placed, starts);
@@ -171,25 +177,29 @@
         let Some(ready) = self.ready.get(step) else {
             return;
         };
-        // Its members have one number, so none of an earlier attempt may be left.
+        // All members of a gang have the same attempt number, so no earlier attempt of any member
+        // may be left.
         if ready.free.len() != usize::try_from(spec.tasks).unwrap_or(0) {
             return;
         }
-        if !self.may_start(ledger, step, spec, spec.tasks) {
+        if !self.cap_allows(ledger, step, spec, spec.tasks) {
             return;
         }
         let first = TaskId { step, task: 0 };
         let unit = self.suspects.unit(first, spec.long_running);
-        let able = self.able(now, &ready.pool, spec.reservation().millicores);
+        let able = self.agents_accepting_work(now, &ready.pool, spec.reservation().millicores);
         let able = able.filter(|agent| self.is_eligible(now, step, agent));
-        // The members of a gang run together, so one that is suspected has its hosts to itself.
+        // The members of a gang run together, so a suspected gang has its hosts to itself.
         let able = able.filter(|agent| unit.is_none() || agent.slots.is_empty());
         let able: BTreeMap<_, _> = able.map(|a| (a.record.id.clone(), a)).collect();
         let Some(seats) = place::choose_gang(&able, spec, step) else {
             return;
         };
         let tasks = (0..spec.tasks).map(|task| TaskId { step, task });
-        let last = tasks.clone().map(|task| attempts(ledger, task)).max();
+        let last = tasks
+            .clone()
+            .map(|task| decided_attempts(ledger, task))
+            .max();
         let attempt = last.unwrap_or_default() + 1;
         for (task, agent) in tasks.zip(seats) {
             if let Some(unit) = unit {
@@ -213,10 +223,10 @@
         starts: &mut Vec<Placement>,
     ) {
         let task = placed.task;
-        self.claim(ledger, task, spec);
+        self.reserve(ledger, task, spec);
         self.ready.take(task.step, task.task);
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
-            self.ages.push(now.saturating_sub(agent.heard));
+            self.agent_ages.push(now.saturating_sub(agent.heard));
             let mut slot = Slot::new(spec, placed.attempt, Phase::Proposed, now);
             slot.doubtful = self.suspects.get(task).is_some();
             slot.probed = self.probes.contains(&placed.agent);
@@ -226,14 +236,16 @@
         starts.push(placed);
     }
 
-    /// The most that any agent of a pool has left of each kind, of those that may get something new
-    /// and have room for what takes the fewest cores. Room only shrinks while a round is filled, so
-    /// that what doesn't fit it fits nowhere.
-    fn widest(&self, now: Now, pool: &PoolId) -> Resources {
-        let Some(least) = self.ready.least(pool) else {
+    /// The largest free amount of each resource at any agent of a pool that may get new work and
+    /// has room for the task that takes the fewest cores. Free room only shrinks while a round is
+    /// filled, so a task that needs more than this fits nowhere.
+    fn largest_free(&self, now: Now, pool: &PoolId) -> Resources {
+        let Some(least) = self.ready.min_millicores(pool) else {
             return Resources::default();
         };
-        let able = self.able(now, pool, least).map(Agent::free);
+        let able = self
+            .agents_accepting_work(now, pool, least)
+            .map(Agent::free);
         able.fold(Resources::default(), |widest, free| Resources {
             millicores: widest.millicores.max(free.millicores),
             memory: widest.memory.max(free.memory),
@@ -241,28 +253,35 @@
         })
     }
 
-    /// The agents of a pool that may get something new and have so many thousandths of a core free.
-    pub(super) fn able(&self, now: Now, pool: &PoolId, least: u64) -> impl Iterator<Item = &Agent> {
+    /// The agents of a pool that may get new work and have at least `least` thousandths of a core
+    /// free.
+    pub(super) fn agents_accepting_work(
+        &self,
+        now: Now,
+        pool: &PoolId,
+        least: u64,
+    ) -> impl Iterator<Item = &Agent> {
         let agents = self.agents.with_room(pool, least);
         agents.filter(move |agent| {
-            self.is_able(now, agent) && !self.probes.contains(&agent.record.id)
+            self.can_accept_work(now, agent) && !self.probes.contains(&agent.record.id)
         })
     }
 
-    /// Whether an agent may get something new.
-    pub(super) fn is_able(&self, now: Now, agent: &Agent) -> bool {
+    /// Whether an agent may get new work.
+    pub(super) fn can_accept_work(&self, now: Now, agent: &Agent) -> bool {
         !agent.record.leaving
             && !agent.unseen
             && !agent.cordoned
             && agent.trouble.is_none()
-            && !self.is_unsettled(agent)
+            && !self.has_unsettled_predecessor(agent)
             && agent.aside <= now
-            && now < agent.heard + self.settings.silence
+            && now < agent.heard + self.settings.max_silence
     }
 
-    /// Whether an agent may still run what was ordered of an incarnation before.
-    fn is_unsettled(&self, agent: &Agent) -> bool {
-        // It is asked of each agent of a pool, and hardly ever has any been replaced.
+    /// Whether an agent may still run what was ordered of an earlier incarnation.
+    fn has_unsettled_predecessor(&self, agent: &Agent) -> bool {
+        // This is checked for each agent of a pool, and there is hardly ever a replaced
+        // incarnation.
         if self.replaced.is_empty() {
             return false;
         }
@@ -270,7 +289,8 @@
         same.any(|other| self.replaced.contains(&other.record.id))
     }
 
-    /// Sends the starts that are due at some agents, and gives up those that can't begin in time any more.
+    /// Sends the starts that are due at these agents, and withdraws those that can no longer begin
+    /// in time.
     pub(super) fn send_starts(&mut self, now: Now, ledger: &Ledger, agents: &[MinionId]) {
         let settings = self.settings;
         let mut due = Vec::new();
@@ -302,7 +322,7 @@
             self.withdraw_start(now, &id, task);
         }
         for (id, to, task, attempt, until) in due {
-            let Some((payload, checkpoint)) = content(ledger, task) else {
+            let Some((payload, checkpoint)) = start_content(ledger, task) else {
                 continue;
             };
             let grant = self.eligible.grant(now, task.step, &id);
@@ -316,33 +336,37 @@
                 checkpoint,
             };
             let about = About::Start(id.clone(), task);
-            let order = self.order(now, about, What::Start(Box::new(start)));
+            let order = self.send_order(now, about, What::Start(Box::new(start)));
             let pool = self.agents.get(&id).map(|agent| &agent.record.pool);
-            let gap = pool.map_or(GAP, |pool| self.gap(pool));
+            let gap = pool.map_or(RENEWAL_GAP, |pool| self.gap(pool));
             let Some(agent) = self.agents.get_mut(&id) else {
                 continue;
             };
-            // It may have been looked at just before, while it ran nothing. What the start grants may
-            // be over before a renewal that gets no answer is repeated, so that one goes out at once
-            // while there is time.
+            // The agent may have been polled just before, while it ran nothing. The lease that the
+            // start grants may expire before a renewal that gets no answer is repeated. So a
+            // renewal is sent at once while there is time.
             let soon = agent.is_due_soon(now, settings.lease);
-            let gap = if soon { gap.saturating_sub(GAP) } else { gap };
+            let gap = if soon {
+                gap.saturating_sub(RENEWAL_GAP)
+            } else {
+                gap
+            };
             agent.next = agent.next.min(now + gap);
             let leaving = agent.record.leaving;
             if let Some(slot) = agent.slots.get_mut(&task) {
                 let delay = now.saturating_sub(slot.placed);
                 let tries = slot.tries;
-                if delay > PROMPT || tries > 0 || leaving {
+                if delay > LATE_START_DELAY || tries > 0 || leaving {
                     log::info!(agent:% = id, task:%, attempt, order, delay:?, tries, leaving; "a start is sent late");
                 }
-                self.delays.push(delay);
+                self.start_delays.push(delay);
                 slot.tries += 1;
                 slot.enter(now, Phase::Starting(order));
             }
         }
     }
 
-    /// Gives up a start that can't begin in time any more.
+    /// Withdraws a start that can no longer begin in time.
     fn withdraw_start(&mut self, now: Now, id: &MinionId, task: TaskId) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
@@ -352,21 +376,21 @@
             return;
         };
         let (attempt, tries) = (slot.attempt, slot.tries);
-        log::info!(agent:% = id, task:%, attempt, tries, leaving; "a start is withdrawn, as it can't begin in time");
+        log::info!(agent:% = id, task:%, attempt, tries, leaving; "a start is withdrawn because it can no longer begin in time");
         if slot.unanswered.is_some() {
             slot.tries = 0;
             slot.enter(now, Phase::Stopping(None));
             return;
         }
         slot.enter(now, Phase::Ended);
-        self.freed.push(Placement {
+        self.abandoned.push(Placement {
             task,
             attempt,
             agent: id.clone(),
         });
     }
 
-    /// Sends the stops that are due at some agents.
+    /// Sends the stops that are due at these agents.
     pub(super) fn send_stops(&mut self, now: Now, agents: &[MinionId]) {
         let mut due = Vec::new();
         for id in agents {
@@ -382,7 +406,7 @@
         for (id, to, task, attempt) in due {
             let about = About::Stop(id.clone(), task);
             let what = What::Stop { to, task, attempt };
-            let order = self.order(now, about, what);
+            let order = self.send_order(now, about, what);
             if let Some(slot) = self.slot(&id, task) {
                 slot.tries += 1;
                 slot.enter(now, Phase::Stopping(Some(order)));
@@ -391,12 +415,13 @@
     }
 }
 
-/// What an agent is told to run, and from where.
-fn content(ledger: &Ledger, task: TaskId) -> Option<(Name, Option<Name>)> {
+/// The payload that an agent is told to run, and the checkpoint from which it continues.
+fn start_content(ledger: &Ledger, task: TaskId) -> Option<(Name, Option<Name>)> {
     let job = ledger.job(task.step.job)?;
     let spec = job.spec.steps.get(usize::from(task.step.step))?;
     let step = job.step(task.step)?;
-    // A checkpoint of any member is one of the whole gang, and all must go on from the same one.
+    // A checkpoint of any member is one of the whole gang, and all members must continue from the
+    // same one.
     let checkpoint = if spec.gang {
         step.tasks.iter().find_map(|task| task.checkpoint.clone())
     } else {
@@ -405,8 +430,8 @@
     Some((job.spec.payload.clone(), checkpoint))
 }
 
-/// How many attempts of a task were decided.
-pub(super) fn attempts(ledger: &Ledger, task: TaskId) -> u32 {
+/// The number of attempts of a task that were decided so far.
+pub(super) fn decided_attempts(ledger: &Ledger, task: TaskId) -> u32 {
     let job = ledger.job(task.step.job);
     let task = job.and_then(|job| job.task(task));
     task.map_or(0, |task| task.attempt)
--- a/src/core/workload/scheduler/vacating.rs
+++ b/src/core/workload/scheduler/vacating.rs
@@ -1,37 +1,39 @@
-//! Hosts that are emptied for another pool.
+//! Empties busy hosts so that they can move to another pool.
 //!
-//! A rush that ends leaves its pool with hosts that are each half full: they become empty one by one,
-//! as the longest task on each ends, and what comes meanwhile is placed in the gaps. If another pool
-//! lacks hosts by then, those that its neighbours have beyond their present need get nothing new and
-//! move as soon as they are empty. No task is ended for it.
+//! When a surge ends, it leaves its pool with hosts that are each half full. They become empty one
+//! by one, as the longest task on each ends, but new tasks are placed in the gaps meanwhile. If
+//! another pool lacks hosts then, the hosts that such a pool has beyond its present need get no new
+//! work and move as soon as they are empty. No task is stopped for this.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{
     Now, PoolId, Scheduler,
-    balance::{Counts, surplus},
-    demand::{AHEAD, Need},
+    balance::{HostCounts, surplus},
+    demand::{MOVE_TIME, Need},
     hosts::{Purpose, Stage},
 };
 use crate::core::types::HostId;
 
-/// How long a host may take to become empty: as long as a move takes, since one that takes longer
-/// comes too late for the need that it is emptied for.
-const SOON: Duration = AHEAD;
-/// How long it is waited for at most, where tasks take longer than they should.
-const PATIENCE: Duration = Duration::from_millis(3000);
+/// The longest time until a chosen host is expected to be empty: as long as a move takes. A host
+/// that takes longer comes too late for the need that it is emptied for.
+const MAX_EMPTYING: Duration = MOVE_TIME;
+/// How long a chosen host may take to become empty, if its tasks take longer than expected.
+const EMPTYING_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// A busy host, about when it will be empty, and its pool.
-pub(super) type Soon = (Now, HostId, PoolId);
+/// About when a busy host will be empty, the host, and its pool.
+pub(super) type EmptyingHost = (Now, HostId, PoolId);
 
 impl Scheduler {
-    /// The busy hosts that will be empty soon, the first one first.
-    pub(super) fn empty_soon(&self, now: Now) -> Vec<Soon> {
+    /// The busy hosts that will be empty soon, the earliest first.
+    pub(super) fn hosts_empty_soon(&self, now: Now) -> Vec<EmptyingHost> {
         let views = self.hosts.views.values();
         let soon = views.filter_map(|view| {
             let agent = self.agent_at(view)?;
             let able = agent.is_well() && !agent.cordoned;
-            let empty = agent.empties().filter(|at| able && *at <= now + SOON)?;
+            let empty = agent
+                .empties()
+                .filter(|at| able && *at <= now + MAX_EMPTYING)?;
             let movable = self.is_movable(now, view);
             movable.then(|| (empty, view.host.clone(), view.pool.clone()))
         });
@@ -40,17 +42,17 @@
         soon
     }
 
-    /// Moves what has become empty, and gives back what isn't needed there any more or doesn't
-    /// become empty.
-    pub(super) fn settle_vacating(
+    /// Moves hosts that have become empty. Gives up hosts that the other pool no longer needs or
+    /// that don't become empty in time.
+    pub(super) fn check_vacating(
         &mut self,
         now: Now,
         needs: &BTreeMap<PoolId, Need>,
-        have: &mut Counts,
+        have: &mut HostCounts,
     ) {
         let mut kept = Vec::new();
-        for (host, duty) in &mut self.hosts.duties {
-            let Purpose::Move(to) = &duty.what else {
+        for (host, duty) in &mut self.hosts.operations {
+            let Purpose::Move(to) = &duty.purpose else {
                 continue;
             };
             if duty.stage != Stage::Emptying {
@@ -62,7 +64,7 @@
             if agent.is_none_or(|agent| agent.slots.is_empty()) {
                 duty.stage = Stage::Due;
                 duty.since = now;
-            } else if *count > need || now >= duty.since + PATIENCE {
+            } else if *count > need || now >= duty.since + EMPTYING_TIMEOUT {
                 *count -= 1;
                 kept.push(host.clone());
             }
@@ -71,16 +73,16 @@
             if let Some(view) = self.hosts.views.get(&host) {
                 *have.entry(view.pool.clone()).or_default() += 1;
             }
-            self.end_duty(now, &host);
+            self.end_operation(now, &host);
         }
     }
 }
 
-/// Takes the busy host that will be empty first, of the pools that have more than they need now.
-pub(super) fn emptiest(
-    soon: &mut Vec<Soon>,
-    needs: &Counts,
-    have: &Counts,
+/// Takes the busy host that will be empty first, from pools that have more than they need now.
+pub(super) fn take_emptiest(
+    soon: &mut Vec<EmptyingHost>,
+    needs: &HostCounts,
+    have: &HostCounts,
     to: &PoolId,
 ) -> Option<HostId> {
     let found = soon.iter().position(|(_, _, pool)| {
--- a/src/core/workload/scheduler/waves.rs
+++ b/src/core/workload/scheduler/waves.rs
@@ -1,79 +1,94 @@
-//! Waves of maintenance: which hosts are emptied, and when each may go down.
+//! Decides which hosts of a maintenance wave are emptied, and when each may go down.
+//!
+//! A wave gives a list of hosts, a time by which all have to be maintained, and a cap on how many
+//! may be away at once. Hosts that no pool needs are emptied at once, the others only as fast as
+//! the time requires. A host goes down once it is empty, or, if the wave would be late otherwise,
+//! once the budgets of all its long-running steps allow their tasks to be away. Long-running tasks
+//! are stopped only within the budget of their step.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use super::{
     Agent, HostState, Map, Now, Phase, Scheduler, StepId, TaskId, Wall,
-    hosts::{Duty, Hosts, Purpose, Stage, WaveTime},
+    hosts::{Hosts, Operation, Purpose, Stage, WaveTimes},
 };
 use crate::core::{
     types::{HostId, WaveId},
     workload::{command::WaveRecord, ledger::Ledger},
 };
 
-/// What maintaining a host takes, with what it takes to notice; counts in how soon a wave ends.
-const TURN: Duration = Duration::from_millis(3200);
+/// How long the maintenance of a host takes, including the time to notice its end; decides how soon
+/// a wave can end.
+const MAINTENANCE_TIME: Duration = Duration::from_millis(3200);
 
-/// How long a host of a wave is of no use, with the time until its tasks have ended.
-const MISSED: Duration = Duration::from_secs(5);
-/// From the stop of a lasting task until it is at work elsewhere and the next of its step may be
-/// stopped: what agents take to stop and start one, with our looks in between.
-const RESTART: Duration = Duration::from_millis(2100);
-/// The part of a wave's time in which it is planned to be through. The rest is for what goes wrong:
-/// an election and a holder's pause take some five seconds.
-const PLANNED: f64 = 0.6;
+/// How long a host of a wave is unavailable, including the time until its tasks have ended.
+const UNAVAILABLE_TIME: Duration = Duration::from_secs(5);
+/// Time from the stop of a long-running task until it works elsewhere and the next task of its step
+/// may be stopped: what agents take to stop and start a task, with the polls in between.
+const RESTART_TIME: Duration = Duration::from_millis(2100);
+/// The part of a wave's time in which it is planned to be complete. The rest is for failures: an
+/// election and the pause between the orders of two leaders take some five seconds.
+const PLANNED_PART: f64 = 0.6;
 
-/// What a host runs.
+/// How much stands against emptying a host. Hosts with less are emptied first; the fields are
+/// compared in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Burden {
-    /// Tasks that last: each must be stopped, within its budget.
-    lasting: usize,
-    /// The most of them that are of one step, and so are stopped one after the other.
-    in_turn: u32,
-    /// All of them.
+pub(super) struct EmptyingCost {
+    /// Long-running tasks, each of which must be stopped within its step's budget.
+    long_running: usize,
+    /// The largest number of them that belong to one step, and so are stopped one after the other.
+    most_per_step: u32,
+    /// All tasks.
     all: usize,
 }
 
-impl Burden {
+impl EmptyingCost {
     /// About how long it takes until the host is back from its maintenance.
-    fn span(self) -> Duration {
-        TURN + RESTART * self.in_turn
+    fn duration(self) -> Duration {
+        MAINTENANCE_TIME + RESTART_TIME * self.most_per_step
     }
 }
 
-/// Hosts that have to be under way at once for a wave to be through in time.
-fn pace(hosts: usize, left: Duration) -> usize {
-    let needed = MISSED.as_secs_f64() * hosts as f64;
-    (needed / (left.as_secs_f64() * PLANNED).max(0.001)).ceil() as usize
+/// The number of hosts that have to be in progress at once for a wave to be complete in time.
+fn hosts_needed(hosts: usize, left: Duration) -> usize {
+    let needed = UNAVAILABLE_TIME.as_secs_f64() * hosts as f64;
+    (needed / (left.as_secs_f64() * PLANNED_PART).max(0.001)).ceil() as usize
 }
 
 impl Scheduler {
-    /// Has hosts of a wave emptied and maintained.
-    pub(super) fn tend_wave(&mut self, now: Now, wall: Wall, ledger: &Ledger, wave: &WaveRecord) {
+    /// Empties hosts of a wave and lets them be maintained.
+    pub(super) fn advance_wave(
+        &mut self,
+        now: Now,
+        wall: Wall,
+        ledger: &Ledger,
+        wave: &WaveRecord,
+    ) {
         let cap = usize::try_from(wave.max_concurrent).unwrap_or(usize::MAX);
-        self.let_go(now, wave);
-        // The clock of the day may jump, so it is looked at once.
+        self.drop_missing_hosts(now, wave);
+        // Wall clocks may jump, so the wall clock is read only once for each wave.
         let due = now + wave.deadline.saturating_sub(wall);
         let time = self.hosts.waves.entry(wave.wave);
-        let time = *time.or_insert(WaveTime { since: now, due });
+        let time = *time.or_insert(WaveTimes { since: now, due });
         let left = time.due.saturating_sub(now);
-        self.empty_more(now, wave, cap, time.since, left);
+        self.empty_wave_hosts(now, wave, cap, time.since, left);
         let turns = wave.remaining.len().div_ceil(cap.max(1));
-        let needed = TURN * u32::try_from(turns).unwrap_or(u32::MAX);
+        let needed = MAINTENANCE_TIME * u32::try_from(turns).unwrap_or(u32::MAX);
         let late = needed >= left;
-        let away = self.away(now, wave);
-        self.admit(now, ledger, wave.wave, cap.saturating_sub(away), late);
+        let away = self.hosts_away(now, wave);
+        self.admit_hosts(now, ledger, wave.wave, cap.saturating_sub(away), late);
     }
 
-    /// Takes the hosts off a wave that aren't there any more.
+    /// Removes hosts from a wave that no longer exist.
     ///
-    /// Lists alone don't show that. A host that they lack is ordered like the others; if the provider
-    /// refuses, and lists that were asked for after that lack it still, it is gone for good.
-    fn let_go(&mut self, now: Now, wave: &WaveRecord) {
+    /// Lists alone don't show that. The maintenance of a host that the lists lack is ordered like
+    /// that of the others. If the provider refuses, and lists that were asked for after the refusal
+    /// lack the host as well, it is gone for good.
+    fn drop_missing_hosts(&mut self, now: Now, wave: &WaveRecord) {
         let Hosts {
             views,
             presence,
-            refused,
+            refused_at: refused,
             ..
         } = &mut self.hosts;
         for host in wave
@@ -85,46 +100,53 @@
                 continue;
             };
             if presence.is_gone(host, *at) {
-                log::info!(wave = wave.wave, host:%; "a host of a wave isn't there any more");
+                log::info!(wave = wave.wave, host:%; "a host of a wave no longer exists");
                 self.maintained.push((wave.wave, host.clone()));
-                // Not again while that is being committed.
+                // Don't report it again while this is being committed.
                 *at = now;
             }
         }
     }
 
-    /// Begins to empty hosts of a wave: those that no pool needs at once, and others only as fast as
-    /// the wave's time asks, since each host that is emptied is missed by its pool.
-    fn empty_more(&mut self, now: Now, wave: &WaveRecord, cap: usize, since: Now, left: Duration) {
-        let mine = |duty: &&Duty| duty.what == Purpose::Maintain(wave.wave);
-        let mut under = self.hosts.duties.values().filter(mine).count();
+    /// Begins to empty hosts of a wave: hosts that no pool needs at once, and others only as fast
+    /// as the wave's time requires, since each host that is emptied is missing in its pool.
+    fn empty_wave_hosts(
+        &mut self,
+        now: Now,
+        wave: &WaveRecord,
+        cap: usize,
+        since: Now,
+        left: Duration,
+    ) {
+        let mine = |duty: &&Operation| duty.purpose == Purpose::Maintain(wave.wave);
+        let mut under = self.hosts.operations.values().filter(mine).count();
         let most = cap.saturating_mul(2);
-        let needed = pace(wave.remaining.len(), left);
+        let needed = hosts_needed(wave.remaining.len(), left);
         let mut candidates: Vec<_> = wave
             .remaining
             .iter()
-            .filter(|host| !self.hosts.duties.contains_key(*host))
-            .filter(|host| !self.is_refused(now, host))
-            .filter_map(|host| Some((self.burden(host, since)?, host.clone())))
+            .filter(|host| !self.hosts.operations.contains_key(*host))
+            .filter(|host| !self.was_refused(now, host))
+            .filter_map(|host| Some((self.emptying_cost(host, since)?, host.clone())))
             .collect();
         candidates.sort_unstable();
         for (burden, host) in candidates {
             if under >= most {
                 return;
             }
-            let unneeded = burden == Burden::default() && self.take_surplus(&host);
-            let pressing = left.mul_f64(PLANNED) <= burden.span();
+            let unneeded = burden == EmptyingCost::default() && self.take_surplus(&host);
+            let pressing = left.mul_f64(PLANNED_PART) <= burden.duration();
             if unneeded || pressing || under < needed {
                 under += 1;
-                self.begin_duty(now, &host, Purpose::Maintain(wave.wave));
+                self.begin_operation(now, &host, Purpose::Maintain(wave.wave));
             }
         }
     }
 
-    /// Takes a host out of what its pool has beyond its need; whether it had any.
+    /// Takes a host out of its pool's surplus. Returns whether the host can be spared.
     fn take_surplus(&mut self, host: &HostId) -> bool {
         let Some(view) = self.hosts.views.get(host) else {
-            // It isn't there, and so isn't needed.
+            // The host doesn't exist, so no pool needs it.
             return true;
         };
         match self.hosts.surplus.get_mut(&view.pool) {
@@ -133,24 +155,25 @@
                 true
             }
             Some(_) => false,
-            // Spares are needed by no pool until they are moved.
+            // No pool needs a spare host until it is moved.
             None => true,
         }
     }
 
-    /// How much stands against emptying a host of a wave that is tended since then; nothing if it
-    /// isn't up, or may be there though it isn't listed.
-    fn burden(&self, host: &HostId, since: Now) -> Option<Burden> {
+    /// How much stands against emptying a host of a wave that has been handled since `since`.
+    /// Returns `None` if the host isn't up or its agent is leaving, or if it may exist although it
+    /// isn't listed.
+    fn emptying_cost(&self, host: &HostId, since: Now) -> Option<EmptyingCost> {
         let Some(view) = self.hosts.views.get(host) else {
-            let refused = self.hosts.refused.contains_key(host);
+            let refused = self.hosts.refused_at.contains_key(host);
             let gone = !refused && self.hosts.presence.is_gone(host, since);
-            return gone.then(Burden::default);
+            return gone.then(EmptyingCost::default);
         };
         if view.state != HostState::Up {
             return None;
         }
         let Some(agent) = self.agent_at(view) else {
-            return Some(Burden::default());
+            return Some(EmptyingCost::default());
         };
         if agent.record.leaving {
             return None;
@@ -160,20 +183,20 @@
         for (task, _) in lasting {
             *steps.entry(task.step).or_default() += 1;
         }
-        Some(Burden {
-            lasting: usize::try_from(steps.values().sum::<u32>()).unwrap_or(usize::MAX),
-            in_turn: steps.values().max().copied().unwrap_or_default(),
+        Some(EmptyingCost {
+            long_running: usize::try_from(steps.values().sum::<u32>()).unwrap_or(usize::MAX),
+            most_per_step: steps.values().max().copied().unwrap_or_default(),
             all: agent.slots.len(),
         })
     }
 
-    /// Hosts that are down for a wave, or may be.
-    fn away(&self, now: Now, wave: &WaveRecord) -> usize {
-        let duties = self.hosts.duties.iter();
+    /// The number of hosts that are down for a wave, or may be.
+    fn hosts_away(&self, now: Now, wave: &WaveRecord) -> usize {
+        let duties = self.hosts.operations.iter();
         let own = duties.filter(|(_, duty)| {
-            duty.what == Purpose::Maintain(wave.wave) && duty.stage != Stage::Emptying
+            duty.purpose == Purpose::Maintain(wave.wave) && duty.stage != Stage::Emptying
         });
-        // An earlier leader may have ordered others, a moment ago or before.
+        // An earlier leader may have ordered the maintenance of others, a moment ago or earlier.
         let held = wave.remaining.iter();
         let held = held.filter(|host| self.touching.is_held(now, host));
         let views = self.hosts.views.iter();
@@ -183,8 +206,9 @@
         all.len()
     }
 
-    /// Lets hosts be maintained that are empty, or all but empty if the wave would be late.
-    pub(super) fn admit(
+    /// Lets hosts be maintained that are empty, or whose remaining tasks may be ended if the wave
+    /// would be late otherwise.
+    pub(super) fn admit_hosts(
         &mut self,
         now: Now,
         ledger: &Ledger,
@@ -192,9 +216,9 @@
         room: usize,
         late: bool,
     ) {
-        let duties = self.hosts.duties.iter();
+        let duties = self.hosts.operations.iter();
         let emptying = duties.filter(|(_, duty)| {
-            duty.what == Purpose::Maintain(wave) && duty.stage == Stage::Emptying
+            duty.purpose == Purpose::Maintain(wave) && duty.stage == Stage::Emptying
         });
         let emptying: Vec<_> = emptying
             .map(|(host, duty)| (host.clone(), duty.agent.clone()))
@@ -203,37 +227,37 @@
         for (host, id) in emptying {
             let agent = id.as_ref().and_then(|id| self.agents.get(id));
             let ready = agent.is_none_or(|agent| {
-                let may_end = late && self.may_end(now, ledger, agent);
+                let may_end = late && self.may_end_all(now, ledger, agent);
                 agent.slots.is_empty() || may_end || !self.settings.protections.budget
             });
-            // Until an order may go out nothing stands still: what runs there goes on, and what else of
-            // its steps is away by then counts then.
+            // Nothing at the host is disturbed until an order may go out: its tasks go on, and
+            // which other tasks of their steps are away is determined then.
             if room == 0 || !ready || self.touching.is_held(now, &host) {
                 continue;
             }
             room -= 1;
             if let Some(agent) = id.and_then(|id| self.agents.get_mut(&id)) {
-                // What it runs counts as away from here on.
+                // What the agent runs counts as away from here on.
                 agent.ending = true;
             }
-            if let Some(duty) = self.hosts.duties.get_mut(&host) {
+            if let Some(duty) = self.hosts.operations.get_mut(&host) {
                 duty.stage = Stage::Due;
                 duty.since = now;
             }
         }
     }
 
-    /// Whether all that an agent runs may be ended, at the price of the work done.
-    pub(super) fn may_end(&self, now: Now, ledger: &Ledger, agent: &Agent) -> bool {
+    /// Whether all that an agent runs may be ended, which loses the work done by its batch tasks.
+    pub(super) fn may_end_all(&self, now: Now, ledger: &Ledger, agent: &Agent) -> bool {
         let lasting = agent.slots.iter().filter(|(_, slot)| slot.lasting);
         let mut steps = BTreeSet::new();
         lasting.into_iter().all(|(task, _)| {
-            // Two of one step at once would count against each other.
+            // Two tasks of one step that end at once would count against each other.
             steps.insert(task.step) && self.may_stop(now, ledger, *task)
         })
     }
 
-    /// Whether the budget of its step lets a lasting task be stopped.
+    /// Whether the budget of its step allows a long-running task to be stopped.
     pub(super) fn may_stop(&self, now: Now, ledger: &Ledger, task: TaskId) -> bool {
         let Some(job) = ledger.job(task.step.job) else {
             return true;
@@ -251,8 +275,8 @@
                 task: *ix,
             };
             let agent = other.agent.as_ref().and_then(|id| self.agents.get(id));
-            // Its host may be about to get an order, or have got one of an earlier leader; and of one
-            // that doesn't answer nothing is known.
+            // The agent's host may be about to get an order, or may have got one from an earlier
+            // leader. About an agent that doesn't answer nothing is known.
             let held = |host| self.touching.is_held(now, host);
             let agent = agent.filter(|agent| {
                 !agent.ending && agent.trouble.is_none() && !agent.home.as_ref().is_some_and(held)
@@ -260,13 +284,13 @@
             let slot = agent.and_then(|agent| agent.slots.get(&id));
             !slot.is_some_and(|slot| slot.phase == Phase::Running && slot.at_work)
         });
-        // A step without a budget is treated like one with the smallest.
+        // A step without a budget is treated like one with the smallest budget.
         away.count() < usize::try_from(spec.disruption_budget.max(1)).unwrap_or(usize::MAX)
     }
 
-    /// Stops what lasts on cordoned agents, as far as its budgets allow.
-    pub(super) fn empty(&mut self, now: Now, ledger: &Ledger) {
-        let emptying = self.hosts.duties.values();
+    /// Stops long-running tasks at cordoned agents, as far as the budgets of their steps allow.
+    pub(super) fn stop_long_running(&mut self, now: Now, ledger: &Ledger) {
+        let emptying = self.hosts.operations.values();
         let emptying = emptying.filter(|duty| duty.stage == Stage::Emptying);
         let agents: Vec<_> = emptying.filter_map(|duty| duty.agent.clone()).collect();
         for id in agents {
@@ -278,7 +302,7 @@
             let lasting: Vec<_> = lasting.map(|(task, _)| *task).collect();
             for task in lasting {
                 if self.may_stop(now, ledger, task) {
-                    log::info!(agent:% = id, task:%; "a lasting task is stopped to empty its host");
+                    log::info!(agent:% = id, task:%; "a long-running task is stopped to empty its host");
                     self.stop(now, &id, task);
                 }
             }
--- a/src/manager/control.rs
+++ b/src/manager/control.rs
@@ -467,11 +467,11 @@
         let share = scheduler.relayed();
         let plan = scheduler.plan(now, wall(), &self.ledger);
         self.load
-            .record_plan(plan.orders.len(), plan.commands.len(), plan.looks);
-        for age in &plan.ages {
+            .record_plan(plan.orders.len(), plan.commands.len(), plan.visits);
+        for age in &plan.agent_ages {
             self.ports.metrics.record_heartbeat_age(*age);
         }
-        for delay in &plan.delays {
+        for delay in &plan.start_delays {
             self.ports.metrics.record_start_delay(*delay);
         }
         for command in plan.commands {
--- a/src/manager/handlers.rs
+++ b/src/manager/handlers.rs
@@ -193,7 +193,7 @@
         }
         let now = self.now();
         let news = self.scheduler.as_mut().and_then(|scheduler| {
-            scheduler.heard(now, &self.ledger, &heartbeat.agent, heartbeat.clock)
+            scheduler.heartbeat(now, &self.ledger, &heartbeat.agent, heartbeat.clock)
         });
         match news {
             Some(news) => self.propose(reply_to, news),
--- a/src/manager/outputs.rs
+++ b/src/manager/outputs.rs
@@ -107,7 +107,7 @@
             }
         }
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.applied(now, wall(), &self.ledger, command, &changes);
+            scheduler.apply(now, wall(), &self.ledger, command, &changes);
         }
         if let Command::SetCluster(_) = command {
             self.adopt_cluster();
@@ -156,7 +156,7 @@
                     self.catalog = Some(Arc::clone(&catalog));
                     let now = self.now();
                     if let Some(scheduler) = &mut self.scheduler {
-                        scheduler.declare(now, catalog, &self.ledger);
+                        scheduler.set_catalog(now, catalog, &self.ledger);
                     }
                 }
                 // It was decoded before it was committed, by this release or an earlier one.
--- a/tests/workload/budgets.rs
+++ b/tests/workload/budgets.rs
@@ -104,7 +104,7 @@
 fn without_waiting_for_stops_budgets_are_exceeded() {
     let broken = (0..SEEDS).filter(|seed| {
         let protections = Protections {
-            spent: false,
+            inherited_stops: false,
             ..Protections::default()
         };
         !play(*seed, protections).overdrawn.is_empty()
--- a/tests/workload/intents.rs
+++ b/tests/workload/intents.rs
@@ -79,7 +79,7 @@
 fn without_the_record_they_do() {
     let broken = (0..SEEDS).filter(|seed| {
         let protections = Protections {
-            touches: false,
+            intents: false,
             ..Protections::default()
         };
         std::panic::catch_unwind(|| play(*seed, protections)).is_err()
