--- a/src/core/workload/intents.rs
+++ b/src/core/workload/intents.rs
@@ -2,9 +2,9 @@
 //!
 //! Two successive leaders must not send orders about the same host within an interval that the provider
 //! sets. A new leader can't ask its predecessor what it has ordered. So a leader commits the hosts that it is
-//! about to send orders about ([`OrderIntent`]) before the orders go out, and its successor waits for those hosts
-//! only. Without this record a new leader had to wait for all hosts: each election cost the moves of three
-//! seconds.
+//! about to send orders about ([`OrderIntent`]) before the orders go out, and its successor waits for those
+//! hosts only. Without this record a new leader had to wait for all hosts: each election cost the moves of
+//! three seconds.
 //!
 //! Times are those of each leader's own monotonic clock, counted from the start of its term. They are never
 //! compared between leaders. The age of a record is the time that passed in the log after it, as later
--- a/src/core/workload/ledger.rs
+++ b/src/core/workload/ledger.rs
@@ -178,7 +178,7 @@
             Command::Round(round) => self.apply_round(round, &mut changes),
             Command::Wave(wave) => self.add_wave(wave, &mut changes),
             Command::Maintained { wave, hosts } => {
-                self.remove_from_wave(*wave, hosts, &mut changes)
+                self.remove_from_wave(*wave, hosts, &mut changes);
             }
             Command::Forget(jobs) => self.forget(jobs),
             Command::Crashed(crash) => self.apply_crash(crash, &mut changes),
--- a/src/core/workload/suspicion.rs
+++ b/src/core/workload/suspicion.rs
@@ -21,7 +21,8 @@
 //! The batch tasks of a job are alike, and the job fails as a whole, so they share the evidence from trials.
 //! Each long-running task has its own evidence.
 //!
-//! The job of a batch task under which [`OwnEvidence::MAX_HOSTS`] hosts have crashed fails, whatever the crashes prove.
+//! If [`OwnEvidence::MAX_HOSTS`] hosts have crashed under a batch task, its job fails, whatever the crashes
+//! prove.
 //!
 //! The evidence is in the ledger, so that none is lost if the leader changes in the middle. This module only
 //! adds it up and judges it. The leader's scheduler decides what counts as another cause, how often hosts
@@ -131,8 +132,8 @@
     /// The number of crashes after which the task runs only on hosts by itself.
     const ISOLATE_HOSTS: u32 = 3;
 
-    /// Records a crash of the given weight in decibans. `started` is whether the task is known to have started on
-    /// that host.
+    /// Records a crash of the given weight in decibans. `started` is whether the task is known to have started
+    /// on that host.
     pub fn record(&mut self, weight: u32, started: bool) {
         self.started += u32::from(started);
         self.total_weight = self.total_weight.saturating_add(weight);
@@ -180,8 +181,8 @@
             || (left > 0 && self.isolated)
     }
 
-    /// Whether the evidence is conclusive, so that the job of the task fails as poison. `long_running` is whether
-    /// the task is long-running.
+    /// Whether the evidence is conclusive, so that the job of the task fails as poison. `long_running` is
+    /// whether the task is long-running.
     pub fn is_conclusive(&self, long_running: bool) -> bool {
         let least = if long_running {
             CONCLUSIVE_DECIBANS.1
