--- a/src/core/workload/scheduler/agent.rs
+++ b/src/core/workload/scheduler/agent.rs
@@ -18,29 +18,30 @@
     },
 };
 
-/// How much slower an agent's clock may run than ours, as a divisor of its time: two hundredths.
+/// The slowest that an agent's clock may run against the leader's: two hundredths slower.
 const SLOWEST: f64 = 0.98;
-/// What is added to the end of a lease for the timers of the agent, which fire a little late.
+/// Added to the end of a lease, since the timers of an agent fire a little late.
 const LATE_TIMERS: Duration = Duration::from_millis(300);
-/// Different jobs in a row that must fail at an agent for it to be set aside. One job may fail
-/// anywhere, again and again.
+/// Different jobs that have to fail at an agent in a row for it to be excluded. A single job may
+/// fail anywhere, again and again.
 const FAILED_JOBS: usize = 3;
-/// How long an agent is set aside the first time; doubles up to eight times that.
+/// How long an agent is excluded the first time. The time doubles with each exclusion, up to eight
+/// times this.
 const ASIDE: Duration = Duration::from_secs(3);
 
-/// How many times as long as estimated the tasks of a slow agent take. Estimates are off by a
-/// fifth, and tasks of a step differ by a third; this is outside both, as an average.
+/// An agent is slow if its tasks take on average this many times their estimate. Estimates are off
+/// by a fifth, and tasks of a step differ by a third; this is beyond both.
 const SLOW: f64 = 1.7;
-/// How much of the averaged pace one task is.
+/// The weight of one task in the averaged pace.
 const PACE_WEIGHT: f64 = 0.6;
-/// The time after which what was seen of a pace counts a third: agents are slow for some seconds.
+/// The time after which an observed pace counts a third. Agents are slow for some seconds.
 const PACE_MEMORY: Duration = Duration::from_secs(8);
-/// How many times as long a task may take that is away from its data or its gang's rack.
+/// How many times its estimate a task may take away from its data or from its gang's rack.
 const FAR: u32 = 3;
-/// How long an agent whose task is overdue gets nothing new.
+/// How long an agent with an overdue task gets no new tasks.
 pub(super) const LAGGING: Duration = Duration::from_secs(2);
 
-/// An agent that was heard so short a time ago is taken to live.
+/// An agent that was heard from this recently is assumed to be running.
 pub(super) const LATELY: Duration = Duration::from_millis(200);
 
 /// An agent that the leader gives orders to.
@@ -49,69 +50,71 @@
     pub(super) record: AgentRecord,
     /// Since when this leader knows it.
     pub(super) known: Now,
-    /// The number of its last heartbeat.
+    /// The sequence number of its last heartbeat.
     pub(super) sequence: u64,
-    /// Whether it has still to answer at its address. Until then nothing hangs on it: whoever says
-    /// that it lives there may have ended long ago.
+    /// Whether it has still to answer at its address. Until then no decision depends on it: the
+    /// agent that claims the address may have ended long ago.
     pub(super) unseen: bool,
-    /// When it was last heard of; the begin of the term counts.
+    /// When it was last heard from, or the start of the leader's term.
     pub(super) heard: Now,
-    /// What its clock said, and when we heard that.
+    /// The latest reading of its clock, and when the leader received it.
     clock: Option<(AgentTime, Now)>,
-    /// What it runs, as far as we know.
+    /// The attempts at the agent, as far as the leader knows.
     pub(super) slots: BTreeMap<TaskId, Slot>,
-    /// The sum of what the slots take.
+    /// The resources that the slots take in total.
     pub(super) used: Resources,
-    /// How many of them last.
+    /// How many slots hold long-running tasks.
     lasting: usize,
-    /// About when the others will have ended; in the past if there are none.
+    /// The estimated end of the batch tasks; in the past if there are none.
     ends: Now,
-    /// By when its lease has surely run out, by our clock.
+    /// When its lease has certainly run out, by the leader's clock.
     pub(super) lease: Now,
-    /// When the last renewal that extended its lease was sent, of those that were answered.
+    /// When the latest answered renewal that extended the lease was sent.
     renewed: Option<Now>,
-    /// The renewal under way.
+    /// The renewal that is under way: its order, and when it was sent.
     pub(super) renewal: Option<(OrderId, Now)>,
     /// When the next renewal is due.
     pub(super) next: Now,
-    /// When the last look was sent that showed what runs there, if none showed a stray attempt.
+    /// When the latest answered renewal was sent, if its report listed no stray attempt.
     pub(super) looked: Option<Now>,
-    /// When the last look was sent that was answered with a list.
+    /// When the latest renewal was sent that was answered with a report.
     pub(super) listed: Option<Now>,
-    /// A list is waited for that was asked for then or later.
+    /// A report is needed to a renewal that is sent at this time or later.
     pub(super) awaited: Option<Now>,
-    /// The last of its ends that was proposed to the log.
+    /// The number of its last end that was proposed to the log.
     pub(super) proposed: u64,
-    /// The last of its ends that it was told we know.
+    /// The number of its last end that was acknowledged to it.
     pub(super) told: u64,
-    /// What its clock said when it was first seen to know this term. It has taken no order of an
-    /// earlier one since.
+    /// Its clock when it was first known to have seen this term. Since then it has taken no order
+    /// of an earlier term.
     pub(super) fenced: Option<AgentTime>,
-    /// Whether a later incarnation is known to live in its place, and may carry out what was ordered of this.
+    /// Whether a later incarnation is known to run in its place. That one may carry out the orders
+    /// that were meant for this one.
     pub(super) replaced: bool,
-    /// Since when its renewals fail.
+    /// Since when its renewals have failed.
     pub(super) trouble: Option<Now>,
-    /// When an order to it first got no answer since it was heard.
+    /// When an order to it first went unanswered since it was last heard from.
     pub(super) silent: Option<Now>,
-    /// The host that a list has shown it at.
+    /// The host on which a list of the provider has shown it.
     pub(super) home: Option<HostId>,
-    /// Until when it gets nothing new.
+    /// Until when it gets no new tasks.
     pub(super) aside: Now,
-    /// Whether it is being emptied and gets nothing new.
+    /// Whether it is being drained, so that it gets no new tasks.
     pub(super) cordoned: bool,
-    /// Whether all that it runs is about to be ended by an order about its host.
+    /// Whether an order about its host is about to end all that it runs.
     pub(super) ending: bool,
-    /// The hundredths of their speed that its best-effort tasks should work at.
+    /// The share of their speed at which its best-effort tasks should run, in percent.
     pub(super) share: u8,
-    /// When that was changed last.
+    /// When the share was last changed.
     pub(super) throttled: Now,
-    /// Since when it runs nothing, if it doesn't.
+    /// Since when it has run nothing, if it runs nothing.
     pub(super) idle: Now,
     /// The different jobs that failed here since the last success.
     failed: Vec<JobId>,
-    /// How often in a row it was set aside.
+    /// How often in a row it was excluded.
     lapses: u32,
-    /// How many times as long as estimated its tasks take, averaged, and when the last one ended.
+    /// The time that its tasks take, averaged and as a multiple of the estimate, and when the last
+    /// one ended.
     pace: (f64, Now),
 }
 
@@ -121,58 +124,60 @@
     pub(super) attempt: Attempt,
     pub(super) room: Resources,
     pub(super) phase: Phase,
-    /// Since when it is in this phase.
+    /// When it entered this phase.
     pub(super) since: Now,
-    /// When it was decided, or this leader took it over.
+    /// When it was decided, or when this leader took it over.
     pub(super) placed: Now,
-    /// When an earlier leader decided it, by that one's clock, if it said so.
+    /// When an earlier leader decided it, by that leader's clock, if the log says so.
     pub(super) began: Option<Wall>,
-    /// When a start that got no answer was sent last. It may still be carried out.
+    /// When the last start that went unanswered was sent. It may still be carried out.
     pub(super) unanswered: Option<Now>,
-    /// How often its start was sent.
+    /// How often its current start or stop was sent.
     pub(super) tries: u32,
-    /// The tail latency that it must stay below, if it serves.
+    /// The tail latency that it has to stay below, if it serves requests.
     pub(super) tail: Option<Duration>,
-    /// The hundredths of its speed that it was last told to work at.
+    /// The share of its speed at which it was last told to run, in percent.
     pub(super) share: u8,
-    /// Whether it lives on what others leave.
+    /// Whether it only uses what other tasks leave.
     pub(super) best_effort: bool,
     /// Whether it runs until it is stopped.
     pub(super) lasting: bool,
-    /// Whether its agent has said that it was begun, as far as is known to an earlier leader that placed it.
+    /// Whether its agent has confirmed that it started. If an earlier leader placed it: as far as
+    /// that leader knew.
     pub(super) begun: bool,
-    /// Whether a list of its agent has shown it.
+    /// Whether a report of its agent has listed it.
     pub(super) seen: bool,
-    /// Whether hosts have ended under it before.
+    /// Whether hosts had ended under it before.
     pub(super) doubtful: bool,
-    /// Whether its agent was kept free of all else for it.
+    /// Whether its agent was kept free of other batch tasks for it.
     pub(super) probed: bool,
-    /// Whether it was last seen to do all that it should.
+    /// Whether the last report showed it doing all its work.
     pub(super) at_work: bool,
-    /// Whether an earlier leader placed it, and may have told it to stop.
+    /// Whether an earlier leader placed it, and may have told its agent to stop it.
     pub(super) inherited: bool,
-    /// About how long it takes at most, where it is.
+    /// The estimate of the longest that it takes at this agent.
     pub(super) estimate: Duration,
-    /// Whether that is as it was estimated, and not stretched for where it may run.
+    /// Whether the estimate is that of the step, not stretched for a task that may run away from
+    /// its data or its gang.
     pub(super) plain: bool,
 }
 
-/// Where an attempt stands.
+/// The state of an attempt at its agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It is being committed.
+    /// Its placement is being committed.
     Proposed,
-    /// Its start is to be sent.
+    /// Its start has to be sent.
     Due,
     /// Its start is under way.
     Starting(OrderId),
     /// It runs.
     Running,
-    /// Only the agent knows.
+    /// Only the agent knows whether it runs.
     Unsure,
-    /// It is to be stopped; the order that says so, if it is under way.
+    /// It has to be stopped. Holds the stop order that is under way, if any.
     Stopping(Option<OrderId>),
-    /// It was stopped, and its end isn't known yet.
+    /// It was stopped, and it isn't known yet whether it ended before.
     Stopped,
     /// Its end is being committed.
     Ended,
@@ -220,13 +225,13 @@
         }
     }
 
-    /// It was heard.
+    /// Notes that something was received from it.
     pub(super) fn hear(&mut self, now: Now) {
         self.heard = now;
         self.silent = None;
     }
 
-    /// Whether it was heard by this leader, and not only by an earlier one.
+    /// Whether this leader has heard from it, and not only an earlier leader.
     pub(super) fn was_heard(&self) -> bool {
         self.heard > self.known
     }
@@ -239,15 +244,15 @@
         }
     }
 
-    /// Learns its clock. It said so no later than now.
+    /// Notes a reading of its clock that was taken at `now` or earlier.
     pub(super) fn tell_time(&mut self, now: Now, clock: AgentTime) {
         if self.clock.is_none_or(|(known, _)| clock > known) {
             self.clock = Some((clock, now));
         }
     }
 
-    /// How long it still is until all that earlier leaders told it to stop has ended there, if it
-    /// runs something lasting that may have been and a stop takes so long.
+    /// How long until everything that earlier leaders told it to stop has ended there, if it runs a
+    /// long-running task that they may have told it to stop and a stop takes up to `stop`.
     pub(super) fn settles(&self, now: Now, stop: Duration) -> Option<Duration> {
         let mut slots = self.slots.values();
         if !slots.any(|slot| slot.inherited && slot.lasting) {
@@ -257,16 +262,16 @@
         Some((self.fenced? + stop).saturating_sub(clock + now.saturating_sub(seen)))
     }
 
-    /// A time of its clock that lies `lease` ahead; `None` if its clock isn't known.
+    /// The time of its clock that is `lease` ahead; `None` if its clock isn't known.
     ///
-    /// Notes by when such a lease has surely run out here, whether or not the order arrives.
+    /// Notes when such a lease has certainly run out here, whether or not the order arrives.
     pub(super) fn grant(&mut self, now: Now, lease: Duration) -> Option<AgentTime> {
         let (clock, seen) = self.clock?;
         Some(self.promise(clock + now.saturating_sub(seen) + lease))
     }
 
-    /// The same for a start, which the agent refuses from `deadline` on by our clock, however slow its own
-    /// is.
+    /// The end of the lease that a start grants. The agent refuses the start from `deadline` on, by
+    /// the leader's clock, however slow its own clock is.
     pub(super) fn grant_start(
         &mut self,
         now: Now,
@@ -279,37 +284,40 @@
         Some(self.promise(longest.min(last)))
     }
 
-    /// Notes by when a lease that ends then by the agent's clock has surely run out by ours.
+    /// Notes when a lease that ends at `until` by the agent's clock has certainly run out by the
+    /// leader's.
     fn promise(&mut self, until: AgentTime) -> AgentTime {
         if let Some((clock, seen)) = self.clock {
             let span = until.saturating_sub(clock).div_f64(SLOWEST) + LATE_TIMERS;
             self.lease = self.lease.max(seen + span);
         }
-        // A whole number of milliseconds is all that an agent understands.
+        // Agents take times in whole milliseconds.
         Duration::from_millis(u64::try_from(until.as_millis()).unwrap_or(u64::MAX))
     }
 
-    /// A renewal that was sent then, and extended its lease, was answered.
+    /// Notes the answer to a renewal that extended the lease and was sent at `sent`.
     pub(super) fn note_renewal(&mut self, sent: Now) {
         self.renewed = self.renewed.max(Some(sent));
     }
 
-    /// Whether its lease may be over soon but for what a start granted, which is as short as its deadline.
+    /// Whether its lease may soon run out, apart from what a start granted, which only lasts until
+    /// the deadline of the start.
     pub(super) fn is_due_soon(&self, now: Now, lease: Duration) -> bool {
         self.renewed.is_none_or(|sent| now >= sent + lease / 2)
     }
 
-    /// Whether a list is waited for that it hasn't answered with.
+    /// Whether it has still to answer a renewal with the report that is needed.
     pub(super) fn owes_list(&self) -> bool {
         self.awaited > self.listed
     }
 
-    /// Whether all of its ends that were listed for a look sent then or later are in the log.
+    /// Whether a renewal sent at `since` or later was answered with a report, and all ends that
+    /// were proposed are in the log.
     pub(super) fn has_told(&self, since: Now) -> bool {
         self.listed.is_some_and(|sent| sent >= since) && self.proposed <= self.record.acked
     }
 
-    /// What is left of its room.
+    /// The resources that its slots leave free.
     pub(super) fn free(&self) -> Resources {
         self.record.room.minus(&self.used)
     }
@@ -338,8 +346,8 @@
         }
     }
 
-    /// How much longer it would be busy for a short task that begins now; nothing if it runs what
-    /// lasts, since it won't be empty anyway.
+    /// How much longer it would be busy because of a batch task that starts now. Zero if it runs a
+    /// long-running task, since it won't become empty anyway.
     pub(super) fn extension(&self, now: Now, estimate: Duration) -> Duration {
         if self.lasting > 0 {
             Duration::ZERO
@@ -348,11 +356,11 @@
         }
     }
 
-    /// Through which of its ends the next renewal acknowledges them.
+    /// The number through which the next renewal acknowledges its ends.
     ///
-    /// A later incarnation may get the renewal, and would forget ends of its own: of starts that were
-    /// meant for this one. So nothing is acknowledged twice, nor while a start is out that no list of this
-    /// incarnation has shown.
+    /// A later incarnation may receive the renewal and would then forget its own ends, of starts
+    /// that were meant for this one. So nothing is acknowledged twice, and nothing while a start is
+    /// out that no report of this incarnation has listed.
     pub(super) fn acknowledges(&self) -> u64 {
         let new = self.record.acked != self.told;
         let mut slots = self.slots.values();
@@ -360,7 +368,7 @@
         if new && shown { self.record.acked } else { 0 }
     }
 
-    /// Logs that its leaving was committed, and what of its starts is under way then.
+    /// Logs that its leaving was committed, and the state of its starts at that time.
     pub(super) fn log_leaving(&self, index: Index) {
         let count = |is: fn(&Slot) -> bool| self.slots.values().filter(|slot| is(slot)).count();
         let unsent = count(|slot| matches!(slot.phase, Phase::Proposed | Phase::Due));
@@ -369,7 +377,7 @@
         log::info!(agent:% = self.record.id, index, placed = self.slots.len(), unsent, starting, unanswered; "an agent is leaving");
     }
 
-    /// How many tasks that last are placed there.
+    /// The number of long-running tasks that are placed there.
     pub(super) fn lasting(&self) -> usize {
         self.lasting
     }
@@ -379,28 +387,28 @@
         !self.record.leaving && self.trouble.is_none()
     }
 
-    /// About when it will be empty by itself, if it runs something and none of it lasts.
+    /// When it will become empty by itself, by estimate, if it runs only batch tasks.
     pub(super) fn empties(&self) -> Option<Now> {
         (self.lasting == 0 && !self.slots.is_empty()).then_some(self.ends)
     }
 
-    /// Whether anything that it runs serves.
+    /// Whether any of its tasks serves requests.
     pub(super) fn serves(&self) -> bool {
         self.slots.values().any(|slot| slot.tail.is_some())
     }
 
-    /// Whether anything that it runs lives on what others leave.
+    /// Whether any of its tasks only uses what other tasks leave.
     pub(super) fn has_best_effort(&self) -> bool {
         self.slots.values().any(|slot| slot.best_effort)
     }
 
-    /// A task of a job ended well here.
+    /// Notes that a task succeeded here.
     pub(super) fn succeeded(&mut self) {
         self.failed.clear();
         self.lapses = 0;
     }
 
-    /// A task took so many times as long as estimated here.
+    /// Notes that a task took `ratio` times its estimate here.
     pub(super) fn note_pace(&mut self, now: Now, ratio: f64) {
         let pace = self.pace(now);
         self.pace = (pace + (ratio - pace) * PACE_WEIGHT, now);
@@ -411,14 +419,14 @@
         self.pace(now) > SLOW
     }
 
-    /// What was seen of its pace counts less the longer it is ago, so that it is tried again.
+    /// The averaged pace. It returns to 1 over time, so that a slow agent is tried again.
     fn pace(&self, now: Now) -> f64 {
         let (pace, seen) = self.pace;
         let age = now.saturating_sub(seen).as_secs_f64() / PACE_MEMORY.as_secs_f64();
         1.0 + (pace - 1.0) * (-age).exp()
     }
 
-    /// A task of a job failed here; whether the agent is set aside for it.
+    /// Notes that a task of a job failed here. Returns whether the agent is excluded because of it.
     pub(super) fn failed(&mut self, now: Now, job: JobId) -> bool {
         if !self.failed.contains(&job) {
             self.failed.push(job);
@@ -434,7 +442,7 @@
 }
 
 impl Slot {
-    /// An attempt of a step's task.
+    /// An attempt at a task of a step.
     pub(super) fn new(spec: &StepSpec, attempt: Attempt, phase: Phase, now: Now) -> Self {
         let plain = spec.data_rack.is_none() && !spec.one_rack;
         Self {
@@ -465,7 +473,7 @@
         }
     }
 
-    /// By when it must have begun; without an end if that doesn't matter.
+    /// The time by which it has to have started; `Now::MAX` if deadlines are off.
     pub(super) fn deadline(&self, settings: &Settings) -> Now {
         if settings.protections.deadlines {
             self.placed + settings.notice
@@ -474,12 +482,12 @@
         }
     }
 
-    /// Until when its start may be sent.
+    /// The time until which its start may be sent.
     pub(super) fn last_try(&self, settings: &Settings) -> Now {
         self.deadline(settings).saturating_sub(SPARE)
     }
 
-    /// When its start or stop, if it is due, may be sent.
+    /// When its start or stop may be sent, if it is due.
     pub(super) fn next_try(&self) -> Now {
         if self.tries == 0 {
             self.since
@@ -488,17 +496,17 @@
         }
     }
 
-    /// Whether it may be at work at its agent: its start was sent, and its end isn't known.
+    /// Whether it may be running at its agent: its start was sent, and its end isn't known.
     pub(super) fn may_run(&self) -> bool {
         match self.phase {
             Phase::Proposed | Phase::Ended => false,
-            // A start that got no answer may have been carried out.
+            // A start that went unanswered may have been carried out.
             Phase::Due => self.tries > 0,
             _ => true,
         }
     }
 
-    /// The attempt, if it is a short task's and nothing has shown that it began.
+    /// The attempt as placed, if it is a batch task and nothing has shown that it started.
     pub(super) fn unbegun(&self, task: TaskId, agent: &MinionId) -> Option<Placed> {
         (!self.begun && !self.lasting).then(|| Placed {
             task,
@@ -507,18 +515,18 @@
         })
     }
 
-    /// Whether it may be at work at its agent, and no list has shown it there.
+    /// Whether it may be running at its agent although no report has listed it.
     fn is_unseen(&self) -> bool {
         self.may_run() && !self.seen
     }
 
-    /// Whether a later incarnation of its agent may run it, or may be told to: nothing showed it where it
-    /// was placed, or a start of it got no answer.
+    /// Whether a later incarnation of its agent may run it, or may be told to: no report listed it
+    /// where it was placed, or one of its starts went unanswered.
     pub(super) fn is_unsettled(&self) -> bool {
         self.is_unseen() || (self.may_run() && self.unanswered.is_some())
     }
 
-    /// Whether it has run for longer than that.
+    /// Whether it is a batch task that has run for longer than `limit`.
     pub(super) fn has_run(&self, now: Now, limit: Duration) -> bool {
         self.phase == Phase::Running && !self.lasting && now >= self.since + limit
     }
--- a/src/core/workload/scheduler/agents.rs
+++ b/src/core/workload/scheduler/agents.rs
@@ -1,15 +1,16 @@
-//! The agents that the leader knows, and when each has to be looked at.
+//! The agents that the leader knows, and when each of them has to be visited.
 //!
-//! Nearly all that a leader does about an agent is due either because something has just happened to
-//! it (an answer, a heartbeat, a commit) or because a time has come that is known ahead (its next
-//! renewal, the next try of an order, the end of its lease). So whoever may change an agent *stirs*
-//! it, and a turn looks at those that were stirred and at those whose time has come. Afterwards each
-//! says when it has to be looked at next if nothing happens to it. A turn then costs what it touches;
-//! a leader that looked at all of 350 agents some twenty times a turn spent a third of its processor
-//! on that in a rush, and had none left for the orders.
+//! Nearly all that a leader does about an agent is due because something has just happened to it
+//! (an answer, a heartbeat, a commit), or because a time has come that is known in advance (its
+//! next renewal, the next try of an order, the end of its lease). So whoever may change an agent
+//! marks it as *dirty*, and a turn visits the dirty agents and those whose time has come.
+//! Afterwards, the scheduler says for each visited agent when it has to be visited next if nothing
+//! happens to it. The cost of a turn is then that of the agents it visits. When a leader visited
+//! all of 350 agents some twenty times per turn, it spent a third of its processor on that in a
+//! rush, and had no processor time left for the orders.
 //!
-//! Walks over all agents are counted: what one event costs must not grow with the fleet, and the
-//! count shows it where a clock can't.
+//! Iterations over all agents are counted. The cost of one event must not grow with the fleet, and
+//! the count shows it where a clock can't.
 
 use std::{
     cell::Cell,
@@ -25,21 +26,21 @@
 /// The agents by their ids.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Agents {
-    /// Walks go by their ids, so that what is decided doesn't hang on the hasher.
+    /// Iterations go by the sorted `ids`, so that decisions don't depend on the hasher.
     known: Map<MinionId, Entry>,
     ids: BTreeSet<MinionId>,
-    /// The incarnations that are known of each agent.
+    /// The known incarnations of each agent.
     names: Map<Name, Vec<MinionId>>,
-    /// The agents of each pool by the thousandths of a core that are free there, as of the last
+    /// The agents of each pool, ordered by their free thousandths of a core, as of the last
     /// [`Agents::index`].
     pools: BTreeMap<PoolId, BTreeSet<(u64, MinionId)>>,
-    /// When agents have to be looked at; each is here once at most.
+    /// When agents have to be visited. Each agent has at most one entry.
     agenda: BTreeSet<(Now, MinionId)>,
-    /// Those that may have changed since they were looked at.
+    /// The agents that may have changed since their last visit.
     stirred: Vec<MinionId>,
-    /// Those that don't answer, as of the last [`Agents::index`].
+    /// The agents that don't answer, as of the last [`Agents::index`].
     troubled: BTreeSet<MinionId>,
-    /// How many were looked at by walks.
+    /// The number of visits of agents.
     looks: Cell<usize>,
 }
 
@@ -47,14 +48,14 @@
 struct Entry {
     agent: Agent,
     stirred: bool,
-    /// Its place in the agenda.
+    /// The time of its entry in the agenda.
     due: Option<Now>,
-    /// Its place in its pool.
+    /// The free thousandths of a core of its entry in its pool.
     free: u64,
 }
 
 impl Entry {
-    /// Notes in `stirred` that it may have changed, once.
+    /// Marks the agent as dirty and adds it to `stirred`, unless it is dirty already.
     fn stir(&mut self, stirred: &mut Vec<MinionId>) {
         if !self.stirred {
             self.stirred = true;
@@ -81,7 +82,7 @@
         self.known.get(id).map(|entry| &entry.agent)
     }
 
-    /// An agent to be changed, which stirs it.
+    /// Returns an agent to be changed, and marks it as dirty.
     pub(super) fn get_mut(&mut self, id: &MinionId) -> Option<&mut Agent> {
         let entry = self.known.get_mut(id)?;
         entry.stir(&mut self.stirred);
@@ -129,62 +130,62 @@
         self.troubled.remove(id);
     }
 
-    /// The incarnation of an agent that lives, as far as is known: the last one that has answered, or that
-    /// was heard of.
+    /// The incarnation of an agent that is running, as far as is known: one that hasn't been
+    /// replaced and has answered is preferred, then the one that became known last.
     pub(super) fn named(&self, name: &Name) -> Option<&Agent> {
         let same = self.incarnations(name);
         same.max_by_key(|agent| (!agent.replaced, !agent.unseen, agent.known))
     }
 
-    /// The incarnations of an agent that are known.
+    /// The known incarnations of an agent.
     pub(super) fn incarnations(&self, name: &Name) -> impl Iterator<Item = &Agent> {
         let same = self.names.get(name).into_iter().flatten();
         same.filter_map(|id| self.get(id))
     }
 
-    /// All of them.
+    /// All agents, in the order of their ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&MinionId, &Agent)> {
         let known = self.ids.iter();
         let known = known.filter_map(|id| Some((id, self.get(id)?)));
         known.inspect(|_| self.look())
     }
 
-    /// How many there are.
+    /// The number of agents.
     pub(super) fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// How many tasks that last are placed at them.
+    /// The number of long-running tasks that are placed at agents.
     pub(super) fn lasting(&self) -> usize {
         self.values().map(Agent::lasting).sum()
     }
 
-    /// All of them, without their ids.
+    /// All agents without their ids.
     pub(super) fn values(&self) -> impl Iterator<Item = &Agent> {
         self.iter().map(|(_, agent)| agent)
     }
 
-    /// Those of a pool that have so many thousandths of a core free.
+    /// The agents of a pool that have at least `least` thousandths of a core free.
     pub(super) fn with_room(&self, pool: &PoolId, least: u64) -> impl Iterator<Item = &Agent> {
         let pool = self.pools.get(pool).into_iter();
-        // No id comes before the empty one.
+        // The empty id sorts before all others.
         let roomy = pool.flat_map(move |pool| pool.range((least, MinionId::default())..));
         let agents = roomy.filter_map(|(_, id)| self.get(id));
         agents.inspect(|_| self.look())
     }
 
-    /// How many a pool has.
+    /// The number of agents of a pool.
     pub(super) fn count(&self, pool: &PoolId) -> usize {
         self.pools.get(pool).map_or(0, BTreeSet::len)
     }
 
-    /// Those that don't answer.
+    /// The agents that don't answer.
     pub(super) fn troubled(&self) -> impl Iterator<Item = &Agent> {
         let ids = self.troubled.iter();
         ids.filter_map(|id| self.get(id)).inspect(|_| self.look())
     }
 
-    /// The ids of those that were stirred and don't answer, in order.
+    /// The ids of the dirty agents that don't answer, in order.
     pub(super) fn stirred_troubled(&self) -> Vec<MinionId> {
         let stirred = |id: &&MinionId| self.known.get(*id).is_some_and(|entry| entry.stirred);
         let ids: Vec<_> = self.troubled.iter().filter(stirred).cloned().collect();
@@ -192,7 +193,7 @@
         ids
     }
 
-    /// Stirs those whose time has come.
+    /// Marks the agents whose time has come as dirty.
     pub(super) fn stir_due(&mut self, now: Now) {
         while self.agenda.first().is_some_and(|(due, _)| *due <= now) {
             let Some((_, id)) = self.agenda.pop_first() else {
@@ -206,8 +207,8 @@
         self.index();
     }
 
-    /// Brings up to date what is kept of those that were stirred: who doesn't answer, and what is
-    /// free in each pool.
+    /// Updates the indexes for the dirty agents: those that don't answer, and the free room in each
+    /// pool.
     pub(super) fn index(&mut self) {
         for id in &self.stirred {
             let Some(entry) = self.known.get_mut(id) else {
@@ -222,14 +223,15 @@
         }
     }
 
-    /// An agent has just got or lost a task, and the pool's free room is needed at once.
+    /// Updates the free room of an agent that has just got or lost a task, where the index is
+    /// needed at once.
     pub(super) fn reindex(&mut self, id: &MinionId) {
         if let Some(entry) = self.known.get_mut(id) {
             entry.reindex(&mut self.pools);
         }
     }
 
-    /// Stirs all, as if each had changed; what is decided then must be the same.
+    /// Marks all agents as dirty, as if each had changed. The decisions must not depend on it.
     pub(super) fn stir_all(&mut self) {
         for id in &self.ids {
             if let Some(entry) = self.known.get_mut(id) {
@@ -238,17 +240,18 @@
         }
     }
 
-    /// The ids of those that were stirred, in order.
+    /// The ids of the dirty agents, in order.
     pub(super) fn stirred(&self) -> Vec<MinionId> {
         let mut ids = self.stirred.clone();
         ids.sort_unstable();
-        // One that was removed and came back is there twice.
+        // An agent that was removed and added again is listed twice.
         ids.dedup();
         self.looks.set(self.looks.get() + ids.len());
         ids
     }
 
-    /// Lets those that were stirred rest until the time that `next` says.
+    /// Schedules the next visit of the dirty agents for the time that `next` returns. They are
+    /// dirty no more.
     pub(super) fn settle(&mut self, next: impl Fn(&MinionId, &Agent) -> Option<Now>) {
         for id in std::mem::take(&mut self.stirred) {
             let Some(entry) = self.known.get_mut(&id).filter(|entry| entry.stirred) else {
@@ -268,7 +271,7 @@
         }
     }
 
-    /// How many were looked at since this was asked last.
+    /// The number of visits since the last call.
     pub(super) fn take_looks(&self) -> usize {
         self.looks.take()
     }
--- a/src/core/workload/scheduler/answers.rs
+++ b/src/core/workload/scheduler/answers.rs
@@ -1,4 +1,4 @@
-//! What the answers to orders mean.
+//! What the scheduler concludes from the answers to its orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use super::{agent::LAGGING, throttle::UNTOLD};
 use crate::core::workload::command::Ending;
 
-/// What a lasting task says that is at work, in hundredths.
+/// The progress that a long-running task reports when it does all its work, in percent.
 const WHOLE: u32 = 100;
 
 /// A start that was sent.
@@ -23,14 +23,14 @@
 /// A renewal that was sent.
 struct Renewal {
     sent: Now,
-    /// Through which of its ends the agent was told that they are known.
+    /// The number of the last end that the renewal acknowledged.
     acked: u64,
-    /// Whether it extended the lease.
+    /// Whether the renewal extended the lease.
     extends: bool,
 }
 
 impl Scheduler {
-    /// An order was answered.
+    /// Takes in the answer to an order.
     pub fn answered(&mut self, now: Now, order: OrderId, answer: Answer) {
         let Some(Pending { sent, about }) = self.pending.remove(&order) else {
             return;
@@ -55,7 +55,7 @@
             }
             About::Stop(agent, task) => self.stopped(now, order, &agent, task, &answer),
             About::Throttle(agent, task) => {
-                // What got no answer is sent again with the next report.
+                // An unanswered throttle is sent again with the next report.
                 if !matches!(answer, Answer::Done { .. })
                     && let Some(slot) = self.slot(&agent, task)
                 {
@@ -101,7 +101,7 @@
         };
         if matches!(answer, Answer::Silent) {
             log::info!(agent:% = id, task:%, order; "a start got no answer");
-            // The next renewal tells whether the agent answers at all.
+            // The next renewal shows whether the agent answers at all.
             agent.next = now;
             agent.silent.get_or_insert(now);
         }
@@ -130,7 +130,7 @@
                 self.unbegun.extend(slot.unbegun(task, id));
             }
         }
-        // It may have been told to stop meanwhile.
+        // The attempt may have been stopped meanwhile.
         if slot.phase != Phase::Starting(order) {
             return;
         }
@@ -143,7 +143,7 @@
             Answer::Refused {
                 why: Refusal::Late, ..
             } if slot.tries < TRIES => {
-                log::info!(agent:% = id, task:%, order; "a start came to its agent too late");
+                log::info!(agent:% = id, task:%, order; "a start reached its agent too late");
                 slot.enter(now, Phase::Due);
             }
             Answer::Refused {
@@ -155,7 +155,7 @@
             Answer::Refused { .. } if slot.unanswered.is_none() => {
                 slot.enter(now, Phase::Ended);
                 let attempt = slot.attempt;
-                log::info!(agent:% = id, task:%, attempt, answer:?; "an attempt is given up, as its start was refused");
+                log::info!(agent:% = id, task:%, attempt, answer:?; "an attempt is abandoned, as its start was refused");
                 self.freed.push(Placed {
                     task,
                     attempt,
@@ -163,7 +163,7 @@
                 });
             }
             _ => {
-                // An earlier start of it may still be carried out.
+                // An earlier start of the attempt may still be carried out.
                 slot.tries = 0;
                 slot.enter(now, Phase::Stopping(None));
             }
@@ -185,7 +185,7 @@
         }
         match answer {
             Answer::Done { .. } => {
-                // It can't be started by anything that is still under way.
+                // From now on the agent refuses a start that is still under way.
                 slot.unanswered = None;
                 slot.enter(now, Phase::Stopped);
                 agent.next = agent.next.min(now + GAP);
@@ -194,7 +194,8 @@
         }
     }
 
-    /// A stop of what isn't placed was answered; if it wasn't, the next look repeats it.
+    /// A stop of an attempt that isn't placed there was answered. If it failed, the next poll
+    /// repeats it.
     fn swept(&mut self, now: Now, id: &MinionId, answer: &Answer) {
         if self.is_there(now, id, answer)
             && !matches!(answer, Answer::Done { .. })
@@ -219,7 +220,8 @@
         };
         agent.renewal = None;
         match answer {
-            // It was answered before the next incarnation lived; what is asked now goes there.
+            // This report is from before the next incarnation started. Later renewals reach the
+            // next incarnation.
             Answer::Report(report) if agent.replaced => self.take_ends(now, id, &report),
             Answer::Report(report) => {
                 agent.hear(now);
@@ -269,7 +271,8 @@
         for (task, slot) in &mut agent.slots {
             let key = (*task, slot.attempt);
             let seen = running.get(&key);
-            // A list doesn't say what is being stopped, so what may be is away until it can't be.
+            // A report doesn't say which attempts are being stopped. So an attempt that an earlier
+            // leader may have stopped counts as away until its stop must have ended.
             slot.inherited &= !settled;
             slot.at_work = !slot.inherited && seen.is_some_and(|r| r.percent >= WHOLE);
             let here = seen.is_some();
@@ -279,11 +282,11 @@
                 slot.unanswered = None;
                 slot.enter(now, Phase::Running);
             }
-            // What this look was sent before says nothing of what came after.
+            // A report doesn't tell what happened after its renewal was sent.
             let settled = matches!(slot.phase, Phase::Unsure | Phase::Stopped | Phase::Running)
                 && slot.since <= sent;
             if settled && !here && !ended.contains(&key) {
-                log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "an attempt is given up, as its agent doesn't list it");
+                log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "an attempt is abandoned, as its agent doesn't list it");
                 slot.enter(now, Phase::Ended);
                 self.freed.push(Placed {
                     task: *task,
@@ -302,7 +305,7 @@
             agent.aside = agent.aside.max(now + LAGGING);
         }
         for task in overdue {
-            log::info!(agent:% = id, task:%; "a task is overdue and is tried elsewhere");
+            log::info!(agent:% = id, task:%; "a task is overdue and is retried elsewhere");
             if let Some(slot) = agent.slots.get_mut(&task) {
                 slot.tries = 0;
                 slot.enter(now, Phase::Stopping(None));
@@ -318,13 +321,13 @@
         agent.looked = strays.is_empty().then_some(sent);
         agent.listed = agent.listed.max(Some(sent));
         let to = agent.target();
-        // A start that is sent meanwhile brings the next look forward.
+        // A start that is sent meanwhile makes the next renewal due earlier.
         if agent.slots.is_empty() && !agent.owes_list() {
             agent.next = agent.next.max(now + ACK_DELAY);
         }
         self.stop_again(now, sent, id, &strays);
         for (task, attempt) in strays {
-            log::warn!(agent:% = id, task:%, attempt; "an attempt runs that was given up; it is stopped");
+            log::warn!(agent:% = id, task:%, attempt; "an abandoned attempt still runs; it is being stopped");
             let to = to.clone();
             self.order(
                 now,
@@ -343,7 +346,7 @@
             if ended.number <= agent.proposed {
                 let slot = agent.slots.get(&ended.task);
                 if slot.is_some_and(|s| s.attempt == ended.attempt && s.phase != Phase::Ended) {
-                    log::warn!(agent:% = id, task:% = ended.task, attempt = ended.attempt, number = ended.number, through = agent.proposed; "an end that isn't known has a number that is");
+                    log::warn!(agent:% = id, task:% = ended.task, attempt = ended.attempt, number = ended.number, through = agent.proposed; "an agent reports an unknown end under a known number");
                 }
                 continue;
             }
@@ -352,7 +355,7 @@
             let mut took = None;
             let slot = agent.slots.get_mut(&ended.task).filter(same);
             if slot.is_none() {
-                log::info!(agent:% = id, task:% = ended.task, attempt = ended.attempt, number = ended.number, how:? = ended.how; "an end is listed of what isn't placed there");
+                log::info!(agent:% = id, task:% = ended.task, attempt = ended.attempt, number = ended.number, how:? = ended.how; "an agent reports the end of an attempt that isn't placed there");
             }
             if let Some(slot) = slot {
                 let ran = slot.phase == Phase::Running && ended.how == Ending::Done;
@@ -377,7 +380,7 @@
             match ended.how {
                 Ending::Done => agent.succeeded(),
                 Ending::Failed if agent.failed(now, ended.task.step.job) => {
-                    log::info!(agent:% = id; "an agent is set aside, since several jobs failed there");
+                    log::info!(agent:% = id; "an agent is excluded, as several jobs failed there");
                 }
                 _ => {}
             }
@@ -396,7 +399,7 @@
         }
     }
 
-    /// Learns the agent's clock from an answer; whether the agent is still there.
+    /// Learns the agent's clock from an answer. Returns whether the agent is still there.
     fn is_there(&mut self, now: Now, id: &MinionId, answer: &Answer) -> bool {
         self.note_clock(now, id, answer);
         if matches!(answer, Answer::Elsewhere) {
@@ -407,7 +410,8 @@
     }
 
     fn note_clock(&mut self, now: Now, id: &MinionId, answer: &Answer) {
-        // What answers in its place says nothing of it.
+        // The answers come from the incarnation that replaced the agent, so they tell nothing about
+        // the agent.
         let agent = self.agents.get_mut(id);
         let Some(agent) = agent.filter(|agent| !agent.replaced) else {
             return;
--- a/src/core/workload/scheduler/leases.rs
+++ b/src/core/workload/scheduler/leases.rs
@@ -1,6 +1,7 @@
-//! The leases of agents: renewed while they run something, and given up when they surely ran out.
+//! The leases of agents: renewed while attempts run there, and given up once they have certainly
+//! run out.
 //!
-//! A renewal is a look as well: its answer lists what runs at the agent.
+//! A renewal also polls the agent: its answer is a report of what runs there.
 
 use std::time::Duration;
 
@@ -9,14 +10,14 @@
     WATCH, What,
 };
 
-/// From one look at an agent for which something is due that can't be done to the next: as often as
-/// a leader that has nothing else to do looks at its timers.
+/// The interval between two visits of an agent for which something is due that can't be done: as
+/// often as an otherwise idle leader checks its timers.
 const BLOCKED: Duration = Duration::from_millis(20);
 
 impl Scheduler {
-    /// Renews the leases of agents that run something, acknowledges ends to the others, and looks
-    /// at those where something may run that isn't placed there, and at those that have still to
-    /// answer at their addresses.
+    /// Renews the leases of agents that run something and acknowledges ends to the others. Also
+    /// polls the agents at which a stray attempt may run, and those that have still to answer at
+    /// their addresses.
     pub(super) fn renew(&mut self, now: Now, agents: &[MinionId]) {
         let lease = self.settings.lease;
         let mut due = Vec::new();
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Frees what was at agents whose leases have surely run out.
+    /// Frees the attempts at agents whose leases have certainly run out.
     pub(super) fn expire_leases(&mut self, now: Now) {
         for id in &self.agents.stirred_troubled() {
             let Some(agent) = self.agents.get_mut(id) else {
@@ -84,7 +85,7 @@
             for (task, slot) in &mut agent.slots {
                 let lapse = slot.lapse(lease, &self.settings);
                 if lapse.is_some_and(|lapse| now >= lapse) {
-                    log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "a task's lease has run out at a silent agent");
+                    log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "a task's lease has expired at an agent that doesn't answer");
                     slot.enter(now, Phase::Ended);
                     self.freed.push(Placed {
                         task: *task,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Lets the agents rest that nothing is due for now.
+    /// Schedules the next visit of the agents that were visited in this turn.
     pub(super) fn rest(&mut self, now: Now) {
         let Self {
             agents,
@@ -107,8 +108,9 @@
         agents.settle(|id, agent| {
             let strays = strays.get(id).copied();
             let due = agent.next_look(now, settings, strays)?;
-            // What is due and couldn't be done (its agent's clock isn't known, say) mustn't be looked
-            // at in each turn; what makes it possible stirs the agent.
+            // If what is due couldn't be done (because the agent's clock isn't known, say), the
+            // agent must not be visited in each turn. Whatever makes it possible marks the agent as
+            // dirty.
             if due > now {
                 return Some(due);
             }
@@ -120,13 +122,13 @@
 }
 
 impl Agent {
-    /// When something is due for it if nothing happens to it before.
+    /// When something is due for the agent if nothing happens to it before.
     fn next_look(&self, now: Now, settings: &Settings, strays: Option<Now>) -> Option<Now> {
         let renewal = self.next_renewal(now, settings, strays);
         let slots = self.slots.values().filter_map(|slot| {
             let lapse = slot.lapse(self.lease, settings);
             match (slot.phase, self.trouble) {
-                // Stops are sent, and leases run out, whether or not it answers.
+                // Stops are sent, and leases run out, whether or not the agent answers.
                 (Phase::Stopping(None), trouble) => {
                     let lapse = lapse.filter(|_| trouble.is_some());
                     Some(lapse.map_or(slot.next_try(), |lapse| lapse.min(slot.next_try())))
@@ -143,7 +145,7 @@
         renewal.into_iter().chain(slots).min()
     }
 
-    /// When the next of its starts that couldn't be sent is given up.
+    /// When the next of its starts that couldn't be sent has to be withdrawn.
     fn next_withdrawal(&self, now: Now, settings: &Settings) -> Option<Now> {
         let slots = self.slots.values();
         let due = slots.filter(|slot| slot.phase == Phase::Due);
@@ -151,7 +153,7 @@
         last.filter(|at| *at > now).min()
     }
 
-    /// When its next renewal or look is to be sent; `None` if there is no reason for one.
+    /// When its next renewal has to be sent; `None` if there is no reason for one.
     fn next_renewal(&self, now: Now, settings: &Settings, strays: Option<Now>) -> Option<Now> {
         if self.renewal.is_some() || self.replaced {
             return None;
@@ -165,8 +167,8 @@
 }
 
 impl Slot {
-    /// When what runs there has surely ended if its agent doesn't answer, given when the agent's lease
-    /// has run out; `None` if it isn't there, or its end is known.
+    /// When the attempt has certainly ended if its agent doesn't answer, given the end of the
+    /// agent's lease; `None` if the attempt isn't there yet, or its end is known.
     fn lapse(&self, lease: Now, settings: &Settings) -> Option<Now> {
         if matches!(self.phase, Phase::Proposed | Phase::Ended) {
             return None;
--- a/src/core/workload/scheduler/losses.rs
+++ b/src/core/workload/scheduler/losses.rs
@@ -1,19 +1,25 @@
-//! Agents that ended unexpectedly, and whether what ran there may be the cause.
+//! Agents that end unexpectedly, and how strongly each end speaks against the tasks that ran there.
 //!
-//! Most agents that end weren't ended by their tasks: their host was told to go down, a rack lost its
-//! power, a data centre went. What shows such a cause is taken for it. An order of ours and an agent
-//! that said it would leave show one by themselves; many ends on one rack or in one data centre at
-//! once do if no job was at all of them. All other ends are evidence against what ran there
+//! Most agents aren't ended by their tasks: their host was told to go down, a rack lost its power,
+//! or a data centre failed. Where there are signs of such a cause, the scheduler assumes it. An
+//! order of the scheduler about the host, or the agent's own announcement that it leaves, is enough
+//! by itself. Many ends at once in one rack or data centre are enough if no job ran on all of those
+//! hosts. Every other end is evidence against the tasks that ran on the host
 //! ([`suspicion`](crate::core::workload::suspicion)).
 //!
-//! What the end of a host proves against a short task that ran there alone is how unlikely it is that the
-//! host ended by itself in that time. How often hosts do is learnt: from those that ended lately under
-//! nothing that is still suspected, and from those of other pools just now. Where others were there, what counts is how often hosts of its pool end
-//! for whatever reason: where hosts end all the time it is nothing rare to be at an end that comes soon.
-//! What lasts is at all hosts of a small pool, and isn't waited for to be away: it counts by how long it has
-//! been at work. A host that has ended may end again for the same unknown reason. So
-//! suspects aren't put there for a while if there is another, and where a host has ended twice, its next
-//! end proves nothing. Ends that turn out to be the doing of a convicted task don't count.
+//! If a batch task ran alone on a host that ended, the weight of the evidence is how unlikely it is
+//! that the host ended by itself in that time. The rate at which hosts end by themselves is
+//! estimated from hosts that ended recently and ran no task that is still suspected, and from the
+//! hosts of other pools that are ending right now. If other tasks ran on the host too, the rate
+//! that counts is that of all ends in the pool, whatever their reason: where hosts end all the
+//! time, a task is often on a host that ends soon after the task starts.
+//!
+//! Long-running tasks are on every host of a small pool, and the scheduler doesn't wait until a
+//! host is free of them. A long-running task is judged by how long it has been running.
+//!
+//! A host that has ended may end again for the same unknown reason. So suspects avoid such a host
+//! for a while if there is another, and once a host has ended twice, its next end proves nothing.
+//! Ends that turn out to be caused by a poison task aren't counted.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -33,23 +39,26 @@
     },
 };
 
-/// Hosts that end within this may have one cause: what ends together is noticed over two of the
-/// provider's lists, which are 0.3 s apart while an agent is in doubt, and an order that has to time out
-/// before them.
+/// Hosts that end within this time of each other may have one cause. Simultaneous ends are noticed
+/// over two of the provider's lists, which are 0.3 s apart while an agent is in doubt, preceded by
+/// an order that has to time out.
 const TOGETHER: Duration = Duration::from_millis(1200);
-/// Hosts of a rack or a data centre that end together, and leave none, for it to be the cause. Fewer
-/// hosts end together by chance where several deadly tasks are about.
+/// Hosts of a rack or a data centre that have to end together, with none of its hosts left, for the
+/// rack or the data centre to be the cause. Fewer hosts may end together by chance when several
+/// poison tasks are running.
 const LEAST: usize = 3;
-/// How long the end of a host is held against it: hosts that come and go do so every second or so, and
-/// in this time some ends have shown it.
+/// How long an end counts against its host. A host that keeps coming and going does so every second
+/// or so, so that several ends have shown it within this time.
 const TAINTED: Duration = Duration::from_secs(8);
 
-/// A host that has ended so often is what's wrong.
+/// A host that has ended this often is itself taken for the cause.
 const UNSOUND: usize = 2;
-/// For how long the end of a host says how often hosts end. Long enough that a fleet of ten that lost none
-/// in it proves a task guilty which works for ten seconds, and short enough for a change to be seen.
+/// How long an end counts towards the rate at which hosts end. Long enough that a fleet of ten that
+/// lost no host within it proves a task that runs for ten seconds to be poison, and short enough to
+/// follow a change of the rate.
 const WINDOW: Duration = Duration::from_secs(60);
-/// Added to the ends that were seen: of rates that explain none, half are below what half an end gives.
+/// Added to the number of ends that were observed. Of the rates that could explain that no end was
+/// observed, half lie below the rate of half an end.
 const UNSEEN: f64 = 0.5;
 
 /// The end of an agent that was neither ordered nor announced.
@@ -57,30 +66,30 @@
 struct Loss {
     at: Now,
     agent: MinionId,
-    /// Whether it is in the log what the end is held against.
+    /// Whether the log holds the evidence that this end gave.
     committed: bool,
     host: Option<HostId>,
     rack: Option<RackId>,
     data_centre: DataCentreId,
     pool: PoolId,
-    /// What was at work there, and whether it lasts.
+    /// The tasks that ran there, and whether each is long-running.
     tasks: Vec<(TaskId, bool)>,
-    /// Whether it is known what ended it.
+    /// Whether the cause of the end is known.
     explained: bool,
 }
 
 impl Loss {
-    /// The jobs at work there. An end under no job at all has another cause.
+    /// The jobs whose tasks ran there. An end under no job at all has another cause.
     fn jobs(&self) -> BTreeSet<JobId> {
         self.tasks.iter().map(|(task, _)| task.step.job).collect()
     }
 
-    /// Whether a task that was there may still turn out to have ended it.
+    /// Whether a task that ran there may still turn out to have caused the end.
     fn is_open(&self, suspects: &Suspects) -> bool {
         !self.committed || self.tasks.iter().any(|(task, _)| suspects.is_open(*task))
     }
 
-    /// What was at work there, but for a job.
+    /// The units that ran there, but for those of a job.
     fn units_beside(&self, job: JobId) -> BTreeSet<Unit> {
         let others = self.tasks.iter().filter(|(task, _)| task.step.job != job);
         others
@@ -93,21 +102,21 @@
     }
 }
 
-/// The last ends of agents, and how long agents were at work for it.
+/// The recent ends of agents, and how long hosts were busy in the time in which they were seen.
 #[derive(Clone, Debug)]
 pub(super) struct Losses {
-    /// The last one last.
+    /// In the order in which they happened.
     recent: VecDeque<Loss>,
-    /// How many earlier leaders saw when this one began.
+    /// How many ends earlier leaders had counted when this leader's term began.
     before: u32,
     began: Now,
-    /// For how long hosts were at work lately, all together, and until when that is counted.
+    /// The recent busy time of all hosts together, and the time up to which it is counted.
     worked: Duration,
     watched: Now,
 }
 
 impl Losses {
-    /// The last ends, given what earlier leaders saw of them.
+    /// Continues from the counts of earlier leaders.
     pub(super) fn new(now: Now, before: Seen) -> Self {
         Self {
             recent: VecDeque::new(),
@@ -118,8 +127,8 @@
         }
     }
 
-    /// How often a host has ended lately for a reason that isn't known, before an agent that is there.
-    /// Ends under a task that ended others, too, are that task's doing as far as is known.
+    /// How many agents of a host, other than the given one, ended recently for an unknown reason.
+    /// Ends under a task that has ended other hosts too are attributed to that task.
     fn count(&self, now: Now, host: &HostId, agent: &MinionId, suspects: &Suspects) -> usize {
         let ends = self.unexplained().filter(|loss| loss.agent != *agent);
         let ends = ends.filter(|loss| loss.host.as_ref() == Some(host) && now < loss.at + TAINTED);
@@ -130,7 +139,7 @@
         ends.filter(known).count()
     }
 
-    /// Whether the host of another agent than one has just ended under a unit.
+    /// Whether the host of any agent but the given one has just ended while running a unit.
     fn has_just_ended(&self, now: Now, unit: Unit, agent: &MinionId) -> bool {
         let together = self.unexplained().filter(|loss| now < loss.at + TOGETHER);
         let others = together.filter(|loss| loss.agent != *agent);
@@ -141,13 +150,13 @@
         })
     }
 
-    /// The ends of which it isn't known what caused them.
+    /// The ends whose cause isn't known.
     fn unexplained(&self) -> impl Iterator<Item = &Loss> {
         self.recent.iter().filter(|loss| !loss.explained)
     }
 
-    /// What stood beside a task when hosts ended under it lately, but for the others of its job, and for
-    /// what an agent ran.
+    /// The units that ran beside a task on hosts that ended recently, but for those of its own job.
+    /// The end of the agent `but` isn't counted.
     pub(super) fn companions(&self, task: TaskId, but: Option<&MinionId>) -> BTreeSet<Unit> {
         let ends = self.unexplained().filter(|loss| loss.has(task));
         let ends = ends.filter(|loss| Some(&loss.agent) != but);
@@ -155,8 +164,9 @@
             .collect()
     }
 
-    /// The highest rate at which hosts of a pool of so many were seen to end lately, for whatever reason,
-    /// in ends a second for each host. Those that a task was at don't count.
+    /// The highest rate at which the hosts of a pool were recently seen to end, for whatever
+    /// reason, in ends per second and host. `hosts` is the size of the pool. Ends under `task`
+    /// aren't counted.
     fn hazard(&self, now: Now, pool: &PoolId, hosts: usize, task: TaskId) -> f64 {
         let ends = self.recent.iter().rev();
         let ends = ends.filter(|loss| loss.pool == *pool && !loss.has(task));
@@ -167,15 +177,17 @@
         rates.fold(0.0, f64::max) / hosts.max(1) as f64
     }
 
-    /// How often hosts of other pools than one were seen to end just now, in ends a second for each of so
-    /// many hosts: what ends hosts everywhere is no job of that pool.
+    /// The rate at which hosts outside a pool are ending right now, in ends per second and host.
+    /// `hosts` is how many hosts there are outside the pool. No job of the pool can be the cause of
+    /// what ends hosts everywhere.
     fn elsewhere(&self, now: Now, pool: &PoolId, hosts: usize) -> f64 {
         let together = self.unexplained().filter(|loss| now < loss.at + TOGETHER);
         let others = together.filter(|loss| loss.pool != *pool).count();
         others as f64 / TOGETHER.as_secs_f64() / hosts.max(1) as f64
     }
 
-    /// The hosts that ended under a job did so because of it; what else ran at each of them.
+    /// Attributes to a job all ends of hosts on which it ran. Returns for each end the units of
+    /// other jobs that ran there.
     pub(super) fn explain(&mut self, job: JobId) -> Vec<BTreeSet<Unit>> {
         let ends = self.recent.iter_mut();
         let ends = ends.filter(|loss| !loss.explained && loss.jobs().contains(&job));
@@ -186,7 +198,7 @@
         others.collect()
     }
 
-    /// It is in the log that an agent has ended.
+    /// Notes that the log holds the end of an agent.
     pub(super) fn commit(&mut self, agent: &MinionId) {
         let mut last = self.recent.iter_mut().rev();
         if let Some(loss) = last.find(|loss| loss.agent == *agent) {
@@ -200,7 +212,8 @@
         self.recent.push_back(loss);
     }
 
-    /// So many hosts are at work. Idle ones aren't looked at, so that nobody would see them end.
+    /// Adds to the busy time, given how many hosts are busy. Idle hosts aren't polled, so that
+    /// their ends wouldn't be seen.
     pub(super) fn watch(&mut self, now: Now, busy: usize) {
         let span = now.saturating_sub(self.watched);
         self.watched = now;
@@ -208,7 +221,8 @@
         self.worked = kept + span * u32::try_from(busy).unwrap_or(u32::MAX);
     }
 
-    /// How often hosts were seen to end by themselves, but for those that a task was at.
+    /// How many hosts were seen to end by themselves, and in how much busy time. Ends under `task`
+    /// aren't counted.
     fn seen(&self, now: Now, suspects: &Suspects, task: Option<TaskId>) -> Seen {
         let lately = self.unexplained().filter(|loss| now < loss.at + WINDOW);
         let others = lately.filter(|loss| !task.is_some_and(|task| loss.has(task)));
@@ -220,14 +234,16 @@
         }
     }
 
-    /// Whether many ended together of those that are alike, and no job was at all of them.
+    /// Whether enough of the hosts that `alike` selects ended together, with no job that ran on all
+    /// of them.
     fn is_common(&self, now: Now, alike: impl Fn(&Loss) -> bool) -> bool {
         let together = self.unexplained().filter(|loss| now < loss.at + TOGETHER);
         let mut alike = together.filter(|loss| alike(loss));
         let Some(first) = alike.next() else {
             return false;
         };
-        // A host that ends twice is one, and an agent of an unknown host may be of one of them.
+        // A host that ends twice counts once. An agent of an unknown host may belong to one of the
+        // known hosts, so it doesn't count.
         let (mut hosts, mut jobs) = (BTreeSet::from([&first.host]), first.jobs());
         for loss in alike {
             hosts.insert(&loss.host);
@@ -239,7 +255,7 @@
     }
 }
 
-/// How much of what was seen so long ago still counts.
+/// How much an observation of this age still counts, from 0 to 1.
 fn fading(span: Duration) -> f64 {
     (-span.as_secs_f64() / WINDOW.as_secs_f64()).exp()
 }
@@ -247,22 +263,23 @@
 /// What is known of why an agent ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
-    /// An order of ours about its host.
+    /// The scheduler gave an order about its host.
     Ordered,
-    /// It had said that it would leave.
+    /// The agent had announced that it would leave.
     Announced,
     /// Its rack or its data centre lost all its agents together.
     Together,
-    /// Nothing was at work there.
+    /// Nothing ran there.
     Idle,
-    /// What ran there may have ended it.
+    /// A task that ran there may have ended it.
     Unknown,
 }
 
 impl Scheduler {
-    /// What is committed for agents that are over.
+    /// The commands that record the ends of agents in the log.
     pub(super) fn bury(&mut self, now: Now, wall: Wall, gone: &BTreeSet<MinionId>) -> Vec<Command> {
-        // All are noted before any is judged: those that end together are told of together.
+        // All ends are noted before any is judged, since ends with a common cause are reported
+        // together.
         let noted: Vec<_> = gone.iter().map(|id| self.note_loss(now, id)).collect();
         let judged = gone.iter().zip(noted).map(|(id, noted)| {
             let judged = noted.and_then(|loss| {
@@ -276,7 +293,7 @@
         judged.collect()
     }
 
-    /// Logs why an agent ended, and what speaks for and against what ran there.
+    /// Logs why an agent ended, with the evidence for and against the tasks that ran there.
     fn log_loss(&self, now: Now, id: &MinionId, judged: Result<&Crash, &Cause>) {
         let Some(agent) = self.agents.get(id) else {
             return;
@@ -301,12 +318,12 @@
                 worked,
             } = present;
             let inherited = slot.inherited;
-            log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:?, age:?, inherited, worked:?, begun, weight, sudden; "a task was there when its agent ended");
+            log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:?, age:?, inherited, worked:?, begun, weight, sudden; "a task ran at an agent that ended");
         }
     }
 
-    /// Notes the end of an agent, unless it was to be expected, if anything was at work there that may
-    /// have ended it.
+    /// Notes the end of an agent, unless it was to be expected. Returns the loss if a task that ran
+    /// there may have caused it.
     fn note_loss(&mut self, now: Now, id: &MinionId) -> Result<Loss, Cause> {
         let agent = self.agents.get(id).ok_or(Cause::Idle)?;
         if self.is_ordered(id) {
@@ -319,13 +336,14 @@
             return Err(Cause::Idle);
         }
         if agent.slots.is_empty() && !agent.was_heard() {
-            // It may have ended long before this leader began, by an order of an earlier one.
+            // The agent may have ended long before this leader's term, by an order of an earlier
+            // leader.
             return Err(Cause::Idle);
         }
         let tried = agent.slots.values();
         let tried = tried.filter(|slot| slot.probed && !slot.lasting && slot.may_run());
         let tried = tried.map(|slot| slot.placed).max();
-        // What had been at work there before another was tried isn't what ended it.
+        // A long-running task that ran there before a suspect was tried isn't the cause.
         let before =
             |slot: &Slot| slot.lasting && tried.is_some_and(|tried| slot.placed + TOGETHER < tried);
         let there = agent.slots.iter();
@@ -346,7 +364,7 @@
         (!idle).then_some(loss).ok_or(Cause::Idle)
     }
 
-    /// What the end of an agent proves against the tasks that were at work there.
+    /// The evidence that the end of an agent gives against each task that ran there.
     fn judge_loss(&self, now: Now, wall: Wall, loss: &Loss) -> Crash {
         let agent = self.agents.get(&loss.agent);
         let tasks = agent.into_iter().flat_map(|agent| {
@@ -361,9 +379,9 @@
         }
     }
 
-    /// What the end of its agent proves against a task.
+    /// The evidence that the end of its agent gives against a task.
     fn weigh(&self, now: Now, wall: Wall, agent: &Agent, task: TaskId, slot: &Slot) -> Present {
-        // It had ended when it first gave no answer.
+        // The agent had ended by the time its first order went unanswered.
         let end = agent.silent.unwrap_or(now);
         let after = now.saturating_sub(end);
         let worked = self.worked(now, wall, task, slot).saturating_sub(after);
@@ -373,11 +391,12 @@
         } else {
             self.was_alone(agent, unit)
         };
-        // Hosts that end together prove no more than one of them, unless the unit was tried there.
+        // Hosts that end together under a unit prove no more than one of them does, unless this one
+        // was tried as the unit's probe.
         let alone =
             alone && (slot.probed || !self.losses.has_just_ended(now, unit, &agent.record.id));
         let sound = self.taint(now, agent) < UNSOUND;
-        // A host that wasn't heard shortly before the start may have ended before it.
+        // A host that wasn't heard from shortly before the start may have ended before it.
         let lived = agent.heard + LATELY >= slot.placed;
         let pool = &agent.record.pool;
         let hosts = self.agents.count(pool);
@@ -387,18 +406,19 @@
         let by_itself = self.end_rate(now, Some(task)).max(elsewhere);
         let any = hazard.max(by_itself);
         let chance = |rate: f64| decibans(rate * worked.as_secs_f64());
-        // A task that wasn't seen to begin may not have.
+        // A task whose start wasn't confirmed may never have started.
         let begun = slot.begun;
         let weight = match (alone && sound && lived && begun, slot.lasting) {
             (false, _) => 0,
-            // What else ran there may have ended it as anything ends hosts now.
+            // Other tasks ran there, which may have ended the host at the rate at which hosts end
+            // now for any reason.
             (true, true) => chance(any),
             (true, false) => chance(by_itself + self.doubt(now, agent, unit)),
         };
         let counts = !slot.lasting && begun && sound && lived;
         let sudden = match (counts && !self.was_together(agent, task, slot), alone) {
             (false, _) => 0,
-            // Whatever ends others wasn't there.
+            // Whatever ends other hosts didn't run here.
             (true, true) => weight,
             (true, false) => chance(any),
         };
@@ -411,7 +431,8 @@
         }
     }
 
-    /// Whether nothing else was at work at an agent under which hosts have ended.
+    /// Whether no other task that ran on an agent is suspected. A batch task counts here as soon as
+    /// one host has ended under it.
     fn was_only_suspect(&self, agent: &Agent, task: TaskId) -> bool {
         let mut ran = agent.slots.iter().filter(|(_, slot)| slot.may_run());
         ran.all(|(other, slot)| {
@@ -424,8 +445,8 @@
         })
     }
 
-    /// Whether anything at an agent that ended was beside a task at an earlier end, too, and has been at
-    /// work there for about as long, if it lasts.
+    /// Whether a unit that ran on this agent also ran beside the task on a host that ended earlier.
+    /// A long-running task counts only if it hasn't been here for much longer than the task.
     fn was_together(&self, agent: &Agent, task: TaskId, slot: &Slot) -> bool {
         let companions = self.losses.companions(task, Some(&agent.record.id));
         let mut there = agent.slots.iter().filter(|(_, other)| other.may_run());
@@ -435,8 +456,9 @@
         })
     }
 
-    /// How often what lasts at an agent, and is suspected, may end it, in ends a second: once in the time that
-    /// it has been at work there, or was when hosts ended under it.
+    /// The rate at which the suspected long-running tasks on an agent may end it, in ends per
+    /// second. Each is assumed to do so once in the longest time that it has run, here or on a host
+    /// that ended under it.
     fn doubt(&self, now: Now, agent: &Agent, unit: Unit) -> f64 {
         let others = agent.slots.iter().filter(|(_, slot)| slot.lasting);
         let others = others.filter(|(task, slot)| Unit::of(**task, slot.lasting) != unit);
@@ -449,27 +471,28 @@
         rates.sum()
     }
 
-    /// For how long a task may have been at work where it is.
+    /// For how long a task may have been running where it is now.
     fn worked(&self, now: Now, wall: Wall, task: TaskId, slot: &Slot) -> Duration {
         let known = now.saturating_sub(slot.placed);
         if !slot.inherited {
             return known;
         }
-        // An earlier leader placed it, by its own wall clock, which may differ from ours.
+        // An earlier leader placed the task, by its own wall clock, which may differ from ours.
         let since = slot.began.map(|began| wall.saturating_sub(began));
         let accepted = self.accepted.get(&task.step.job);
         let age = accepted.map(|accepted| now.saturating_sub(*accepted));
         since.or(age).map_or(known, |since| since.max(known))
     }
 
-    /// How often a host ends by itself, in ends a second, by those that a task wasn't at.
+    /// The rate at which hosts end by themselves, in ends per second and host. Hosts on which
+    /// `task` ran aren't counted.
     fn end_rate(&self, now: Now, task: Option<TaskId>) -> f64 {
         let seen = self.losses.seen(now, &self.suspects, task);
         (f64::from(seen.ends) + UNSEEN) / seen.worked.as_secs_f64().max(f64::EPSILON)
     }
 
-    /// How often an agent's host has ended lately for a reason that isn't known. An agent whose host
-    /// isn't known may be of one that has just come back.
+    /// How often the host of an agent has ended recently for an unknown reason. An agent whose host
+    /// isn't known gets 1, since its host may have just come back.
     pub(super) fn taint(&self, now: Now, agent: &Agent) -> usize {
         let home = agent.home.as_ref();
         let count = |host| {
@@ -479,7 +502,7 @@
         home.map_or(1, count)
     }
 
-    /// Whether the rack or the data centre of an agent that ended has lost all of its agents together.
+    /// Whether the rack or the data centre of an agent that ended has lost all its agents together.
     fn is_explained(&self, now: Now, gone: &BTreeSet<MinionId>, loss: &Loss) -> bool {
         let (mut rack, mut centre) = (loss.rack.is_some(), true);
         let left = self.agents.iter().filter(|(id, _)| !gone.contains(*id));
--- a/src/core/workload/scheduler/order.rs
+++ b/src/core/workload/scheduler/order.rs
@@ -1,4 +1,5 @@
-//! What the scheduler wants done outside, and what comes of it.
+//! The orders that the scheduler gives to agents and to the provider of the hosts, and their
+//! answers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,101 +14,102 @@
     },
 };
 
-/// The scheduler's number for an order; its answer carries the same one.
+/// The scheduler's number of an order. The answer carries the same number.
 pub type OrderId = u64;
-/// A time of an agent's own steady clock.
+/// A reading of an agent's monotonic clock.
 pub type AgentTime = Duration;
 
-/// Something to be done outside. Each is answered once, by [`Answer::Silent`] if by nothing else.
+/// An order to an agent or to the provider. Each gets exactly one answer, [`Answer::Silent`] if no
+/// other comes.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Order {
-    /// Its number.
+    /// The number of the order.
     pub id: OrderId,
-    /// The term of the leader that gives it. Who has seen a higher one refuses it.
+    /// The term of the leader that gives the order. Whoever has seen a higher term refuses it.
     pub term: Term,
-    /// What is to be done.
+    /// What to do.
     pub what: What,
 }
 
-/// What is to be done.
+/// What an order asks for.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum What {
-    /// Start an attempt.
+    /// Starts an attempt.
     Start(Box<StartOrder>),
-    /// Stop an attempt, and refuse it if it comes later.
+    /// Stops an attempt, and has its start refused if that arrives later.
     Stop {
-        /// At which agent.
+        /// The agent that runs the attempt.
         to: Target,
         /// The task.
         task: TaskId,
-        /// Which attempt.
+        /// The attempt's number.
         attempt: Attempt,
     },
-    /// Renew an agent's lease, take note of its ends and look at it.
+    /// Renews an agent's lease, acknowledges its ends and requests a report.
     Renew {
-        /// At which agent.
+        /// The agent whose lease is renewed.
         to: Target,
-        /// Ends up to this number need no more be told.
+        /// Ends up to this number need no longer be reported.
         acked: u64,
-        /// Until when the lease is to last; it is left as it is if not given.
+        /// The new end of the lease. Without it the lease stays as it is.
         until: Option<AgentTime>,
         /// How long the answer may wait for an end.
         wait: Duration,
     },
-    /// Let an attempt work at a share of its speed.
+    /// Changes the share of its speed at which an attempt runs.
     Throttle {
-        /// At which agent.
+        /// The agent that runs the attempt.
         to: Target,
         /// The task.
         task: TaskId,
-        /// Which attempt.
+        /// The attempt's number.
         attempt: Attempt,
-        /// The share in hundredths.
+        /// The share in percent.
         percent: u8,
     },
-    /// Ask which agents may run a step.
+    /// Asks which agents may run a step.
     Ask {
         /// The step.
         step: StepId,
-        /// The agents that are asked about.
+        /// The agents to choose from.
         agents: Vec<MinionId>,
-        /// How long the answer takes if all goes well.
+        /// How long the answer takes if nothing goes wrong.
         within: Duration,
     },
-    /// List all hosts.
+    /// Lists all hosts.
     Hosts,
-    /// Move a host to another pool.
+    /// Moves a host to another pool.
     Move {
-        /// Which host.
+        /// The host.
         host: HostId,
-        /// The pool.
+        /// The pool to which the host moves.
         pool: PoolId,
     },
-    /// Begin a host's maintenance.
+    /// Starts the maintenance of a host.
     Maintain {
-        /// Which host.
+        /// The host.
         host: HostId,
-        /// For which wave.
+        /// The wave to which the maintenance belongs.
         wave: WaveId,
     },
 }
 
-/// An agent as it is called.
+/// An agent as the receiver of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Target {
-    /// The incarnation that is meant.
+    /// The incarnation that the order is for.
     pub agent: MinionId,
-    /// Where it takes orders.
+    /// The address at which it takes orders.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentreId,
 }
 
 impl What {
-    /// The agent that it is for, if it is for one.
+    /// The agent that receives the order; `None` for an order to the provider.
     pub fn target(&self) -> Option<&Target> {
         match self {
             Self::Start(start) => Some(&start.to),
@@ -116,7 +118,7 @@
         }
     }
 
-    /// How long its answer may wait for something to happen.
+    /// How long the answer may wait for an event.
     pub fn wait(&self) -> Duration {
         match self {
             Self::Renew { wait, .. } => *wait,
@@ -129,49 +131,49 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct StartOrder {
-    /// At which agent.
+    /// The agent that runs the attempt.
     pub to: Target,
     /// The task.
     pub task: TaskId,
-    /// Which attempt.
+    /// The attempt's number.
     pub attempt: Attempt,
     /// The job's payload.
     pub payload: Name,
-    /// Until when the agent's lease is to last.
+    /// The new end of the agent's lease.
     pub until: AgentTime,
-    /// From where it goes on.
+    /// The checkpoint to continue from.
     pub checkpoint: Option<Name>,
-    /// What shows that the agent may run it, if that had to be asked.
+    /// The proof that the agent may run the task, if the scheduler had to ask for that.
     pub grant: Option<Name>,
 }
 
-/// What came of an order.
+/// The answer to an order.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Answer {
-    /// An agent did it.
+    /// The agent carried out the order.
     Done {
-        /// Its clock.
+        /// The agent's clock.
         clock: AgentTime,
     },
-    /// An agent renewed its lease.
+    /// The agent renewed its lease.
     Report(Report),
-    /// It was refused, and nothing was done.
+    /// The order was refused, and nothing was done.
     Refused {
-        /// Why.
+        /// The reason.
         why: Refusal,
-        /// The agent's clock, if it said.
+        /// The agent's clock, if the refusal contains it.
         clock: Option<AgentTime>,
     },
     /// An agent of another name is at the address.
     Elsewhere,
-    /// A later incarnation of the agent is, and did what was ordered.
+    /// A later incarnation of the agent is at the address, and carried out the order.
     Reborn,
     /// All hosts.
     Hosts(Vec<HostView>),
-    /// The agents that may run a step, each with the grant that a start there must carry.
+    /// The agents that may run a step, each with the grant that a start there has to carry.
     Eligible(Vec<(MinionId, Name)>),
-    /// No clear answer came: it may have been done, or may yet be.
+    /// No clear answer came: the order may have been carried out, or may still be.
     Silent,
 }
 
@@ -179,70 +181,70 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum Refusal {
-    /// A later leader gave orders there.
+    /// A later leader has given orders there.
     Fence,
     /// This or a later attempt was stopped or ended there.
     Old,
-    /// The lease would have ended before now.
+    /// The lease would already have ended.
     Late,
-    /// There is no room.
+    /// The resources are taken.
     Room,
     /// The host isn't up, or is about to leave.
     Busy,
-    /// The host is not of the wave.
+    /// The host doesn't belong to the wave.
     NotInWave,
-    /// The agent isn't well.
+    /// The agent isn't healthy.
     Unwell,
-    /// The order made no sense there.
+    /// The order wasn't valid.
     Invalid,
-    /// The grant is missing or holds no more.
+    /// The grant is missing or no longer valid.
     Grant,
-    /// Too many orders at once.
+    /// There were too many orders at once.
     Throttled,
 }
 
-/// What an agent has and had.
+/// What runs at an agent, and what ended there.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Report {
-    /// Its clock.
+    /// The agent's clock.
     pub clock: AgentTime,
-    /// What it runs.
+    /// The attempts that run there.
     pub running: Vec<Running>,
-    /// What ended there and wasn't taken note of, in order.
+    /// The ends that weren't acknowledged yet, in order.
     pub ended: Vec<Ended>,
 }
 
-/// An attempt at work.
+/// An attempt that runs.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Running {
     /// The task.
     pub task: TaskId,
-    /// Which attempt.
+    /// The attempt's number.
     pub attempt: Attempt,
-    /// From where another attempt could go on.
+    /// The checkpoint from which another attempt could continue.
     pub checkpoint: Option<Name>,
-    /// How far it is, in hundredths.
+    /// The progress in percent.
     pub percent: u32,
-    /// What it measured over the last half second: the tail latency of one that serves, in
-    /// milliseconds; the thousandths of a core of any other.
+    /// What the attempt measured over the last half second: the tail latency in milliseconds if it
+    /// serves requests, otherwise the thousandths of a core that it used.
     pub measure: Option<f64>,
 }
 
-/// An end as an agent lists it.
+/// The end of an attempt, as its agent reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ended {
-    /// Its number; they rise by one.
+    /// The number of the end. Each end of an agent has the next number.
     pub number: u64,
     /// The task.
     pub task: TaskId,
-    /// Which attempt.
+    /// The attempt's number.
     pub attempt: Attempt,
-    /// How.
+    /// How the attempt ended.
     pub how: Ending,
-    /// From where another attempt may go on.
+    /// The checkpoint from which another attempt may continue.
     pub checkpoint: Option<Name>,
 }
 
@@ -250,30 +252,31 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct HostView {
-    /// Which.
+    /// The host.
     pub host: HostId,
-    /// Its pool.
+    /// The pool that the host belongs to.
     pub pool: PoolId,
-    /// What it does.
+    /// The state of the host.
     pub state: HostState,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: DataCentreId,
-    /// The name of its agent, if one is there.
+    /// The name of the host's agent, if it has one.
     pub agent: Option<Name>,
 }
 
-/// What a host does.
+/// The state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub enum HostState {
-    /// It works, or is a spare.
+    /// It is in service, or is a spare.
     Up,
-    /// It changes pools.
+    /// It is moving to another pool.
     Moving,
     /// It is being maintained.
     Maintained,
     /// It is gone.
     Down,
-    /// What is said of it can't be read. It is there, and nothing may be concluded from it.
+    /// The provider's state of it can't be read. The host exists, and nothing else may be
+    /// concluded.
     Unknown,
 }
--- a/src/core/workload/scheduler/presence.rs
+++ b/src/core/workload/scheduler/presence.rs
@@ -1,28 +1,28 @@
-//! Which hosts are there, by the lists of their provider.
+//! Which hosts and agents are there, according to the lists of their provider.
 //!
-//! One list that lacks a host proves nothing. It may be older than the host; and it is read page by
-//! page, so that a host which goes meanwhile moves others across the border of two pages, where
-//! nobody reads them. Whoever is lacked by [`LISTS`] whole lists in a row, all asked for after the
-//! question came up, is taken for gone.
+//! A single list that lacks a host proves nothing. The list may be older than the host. And it is
+//! read page by page: a host that disappears meanwhile moves others across the border of two pages,
+//! where they are never read. So something counts as gone once [`LISTS`] whole lists in a row lack
+//! it, all requested after the question came up.
 //!
-//! What hangs on it: an agent that is taken for gone has its work started elsewhere, and a host that
-//! is taken for gone is not waited for any more. Its price: one more list, 0.3 s, before the work of
-//! a host that was removed for good goes on.
+//! The work of an agent that counts as gone is started elsewhere, and a host that counts as gone is
+//! no longer waited for. The price is one more list, 0.3 s, before the work of a host that was
+//! removed for good goes on.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::core::types::Now;
 
-/// Lists in a row that must lack somebody. A page border moves by as much as came or went while one
-/// list was read; the next list begins after that.
+/// Lists in a row that must lack something. A page border moves by as much as came or went while
+/// one list was read; the next list starts after that.
 const LISTS: usize = 2;
 
-/// When each of some things was last listed.
+/// When each of several things was last listed.
 #[derive(Clone, Debug)]
 pub(super) struct Presence<K> {
-    /// When the list was asked for that had it last.
+    /// For each thing, when the last list that had it was requested.
     listed: BTreeMap<K, Now>,
-    /// When the last lists were asked for.
+    /// When the latest lists were requested.
     lists: VecDeque<Now>,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl<K: Ord> Presence<K> {
-    /// Takes in a whole list that was asked for at `sent`.
+    /// Takes in a whole list that was requested at `sent`.
     pub(super) fn note(&mut self, sent: Now, present: impl Iterator<Item = K>) {
         if self.lists.len() == LISTS {
             self.lists.pop_front();
@@ -44,17 +44,17 @@
         self.lists.push_back(sent);
         self.listed.extend(present.map(|key| (key, sent)));
         if let Some(oldest) = self.lists.front().copied() {
-            // Whoever was listed before those that count is as good as never listed.
+            // Only the latest lists count, so older sightings are dropped.
             self.listed.retain(|_, listed| *listed >= oldest);
         }
     }
 
-    /// Whether enough lists that were asked for after `since` lack it.
+    /// Whether enough lists that were requested after `since` lack it.
     pub(super) fn is_gone(&self, key: &K, since: Now) -> bool {
         self.lists.len() == LISTS && self.lists.iter().all(|sent| self.lacks(key, *sent, since))
     }
 
-    /// Whether the last list lacks it, and was asked for after `since`.
+    /// Whether the latest list lacks it and was requested after `since`.
     pub(super) fn is_lacked(&self, key: &K, since: Now) -> bool {
         let last = self.lists.back();
         last.is_some_and(|sent| self.lacks(key, *sent, since))
--- a/src/core/workload/scheduler/probes.rs
+++ b/src/core/workload/scheduler/probes.rs
@@ -1,15 +1,17 @@
-//! Where tasks run next under which hosts have ended.
+//! Where tasks run next after hosts have ended under them.
 //!
-//! One under which a single host has ended runs at once, but apart from others like it and where little
-//! else does: if one of those that were there ended the host, only that one ends another.
+//! A task under which a single host has ended may run at once, but apart from other such tasks and
+//! where few tasks run: if one of the tasks that were on the host ended it, only that one will end
+//! another.
 //!
-//! A short suspect runs on a *probe*: an agent where nothing else does but what lasts, from its start to
-//! its end, so that hardly anything but the suspect can be what ends it. Nothing new is started there while
-//! it empties, nor beside the suspect. What else of the suspect's unit could start waits until it is done.
+//! A suspected batch task runs on a *probe*: an agent that is kept free of other batch tasks from
+//! the task's start to its end, so that hardly anything but the suspect can end the host. Nothing
+//! new is started on a probe while it empties, nor beside the suspect. The other startable tasks of
+//! the suspect's unit wait until it is done.
 //!
-//! What lasts and is suspected runs apart from other suspects, and on no probe: it would hold one for as
-//! long as it is suspected, and in a small pool all hosts. For the same reason it keeps no host from being
-//! a probe.
+//! A suspected long-running task runs apart from other suspects, but never on a probe: it would
+//! hold a probe for as long as it is suspected, and in a small pool all hosts. For the same reason,
+//! a long-running task on a host doesn't keep the host from becoming a probe.
 
 use std::{
     cmp::Reverse,
@@ -23,27 +25,28 @@
 };
 use crate::core::workload::suspicion::Evidence;
 
-/// Of a pool's hosts, one in so many is a probe at most, as long as no unit has waited for too long, and
-/// then.
+/// At most one in this many hosts of a pool is a probe: the first number while the unit in question
+/// has waited for a short time, the second once it has waited for too long.
 const PROBES: (usize, usize) = (4, 2);
-/// From one look for a probe to the next. Each is at up to all agents of a pool.
+/// The interval between two searches for a probe. Each search may visit all agents of a pool.
 const LOOK: Duration = Duration::from_millis(20);
-/// How long a unit waits for a probe before there may be more of them, or before it runs beside others if no
-/// host will be free for it. Callers count on a task that could be started not waiting for three seconds.
+/// How long a unit waits for a probe before there may be more probes, or before it runs beside
+/// other tasks if no host will become free for it. Callers rely on a task that could be started
+/// waiting less than three seconds.
 const PATIENCE: Duration = Duration::from_millis(2000);
 
 /// A unit that waits for a probe.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     since: Now,
-    /// When one is looked for again.
+    /// When to search again.
     next: Now,
 }
 
 /// The agents that are probes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probes {
-    /// Which unit runs there, or is to.
+    /// The unit that runs on each probe or is about to.
     agents: BTreeMap<MinionId, Option<Unit>>,
     waiting: BTreeMap<Unit, Waiting>,
 }
@@ -54,12 +57,12 @@
         self.agents.contains_key(agent)
     }
 
-    /// Has a unit run on an agent, which is a probe from now on.
+    /// Makes an agent the probe of a unit.
     pub(super) fn insert(&mut self, agent: MinionId, unit: Unit) {
         self.agents.insert(agent, Some(unit));
     }
 
-    /// The probe where a unit runs, or is to.
+    /// The probe where a unit runs or is about to.
     fn of(&self, unit: Unit) -> Option<MinionId> {
         let mut probes = self.agents.iter();
         let probe = probes.find(|(_, current)| **current == Some(unit));
@@ -67,7 +70,7 @@
     }
 }
 
-/// A task of a step that is to be started.
+/// A step whose tasks are to be started, and its pool.
 #[derive(Clone, Copy)]
 struct Sought<'a> {
     pool: &'a PoolId,
@@ -76,9 +79,9 @@
 }
 
 impl Scheduler {
-    /// Starts the suspected tasks that wait for hosts of a pool, where they may run now.
+    /// Starts the suspected tasks that wait for hosts of a pool, as far as they may run now.
     ///
-    /// Their hosts are free of all else, so that it doesn't count how full the others are.
+    /// A probe is free of other batch tasks, so how full the other hosts are doesn't matter.
     pub(super) fn start_on_probes(
         &mut self,
         now: Now,
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Starts the tasks of a step under which hosts have ended, where they may run now.
+    /// Starts the tasks of a step under which hosts have ended, as far as they may run now.
     pub(super) fn start_suspects(
         &mut self,
         now: Now,
@@ -117,7 +120,7 @@
         let tasks = ready.free.iter().map(|task| TaskId { step, task: *task });
         let tasks = tasks.filter_map(|task| Some((self.suspects.get(task)?, task)));
         let mut tasks: Vec<_> = tasks.collect();
-        // Where not all fit one host, those go first that are the nearest to a verdict.
+        // If not all of them fit on one host, those with the most evidence go first.
         tasks.sort_by_key(|(Held { evidence, .. }, task)| {
             let Evidence {
                 own, weight, hosts, ..
@@ -133,7 +136,7 @@
                 Some(unit @ Unit::Job(_)) if self.suspects.is_suspect(task, held) => {
                     self.probe_for(now, &sought, unit, task)
                 }
-                // It waits until the others of its unit are done.
+                // The task waits until the suspected tasks of its unit are done.
                 Some(Unit::Job(_)) => None,
                 Some(Unit::Task(_)) | None => self.apart(now, &sought, task),
             };
@@ -150,8 +153,8 @@
         }
     }
 
-    /// An agent for a task under which one host has ended: away from others like it, and where an end
-    /// does little harm.
+    /// An agent for a task that runs on no probe: away from other tasks under which hosts have
+    /// ended, and where the end of the host does little harm.
     fn apart(&self, now: Now, sought: &Sought<'_>, task: TaskId) -> Option<MinionId> {
         let Sought { pool, step, spec } = *sought;
         let able = self.able(now, pool, spec.room().millicores);
@@ -159,11 +162,13 @@
             self.is_eligible(now, step, agent) && place::may_run(agent, spec, step)
         });
         let mut able = able.peekable();
-        // What is looked up for the choice isn't where there is none: full pools are asked all the time.
+        // Full pools are asked all the time, so nothing is computed for the choice unless there is
+        // one.
         able.peek()?;
         let companions = self.losses.companions(task, None);
         let rank = |agent: &&Agent| {
-            // What stood beside it when a host ended stays away from it, or the next end tells nothing.
+            // A unit that ran beside the task on a host that ended is kept apart from it. Otherwise
+            // the next end couldn't tell the two apart.
             let slots = agent.slots.iter();
             let again = slots.filter(|(other, slot)| {
                 let unit = Unit::of(**other, slot.lasting);
@@ -217,13 +222,14 @@
         let beside = share.then(|| self.apart(now, sought, task)).flatten();
         if let Some(agent) = &beside {
             self.log_beside(now, sought, unit, since, agent);
-            // The next wait is one of its own.
+            // The next wait of the unit starts from zero.
             self.probes.waiting.remove(&unit);
         }
         beside
     }
 
-    /// Logs that a suspect isn't kept apart, and what its pool's hosts run instead.
+    /// Logs that a suspect runs beside other tasks, and what keeps the pool's hosts from being its
+    /// probe.
     fn log_beside(&self, now: Now, sought: &Sought<'_>, unit: Unit, since: Now, beside: &MinionId) {
         let Sought { pool, step, spec } = *sought;
         let agents = || self.agents.with_room(pool, 0);
@@ -234,10 +240,10 @@
         let (agents, probes) = (agents().count(), self.count_probes(pool));
         let others = self.agents.get(beside).map_or(0, |agent| agent.slots.len());
         let waited = now.saturating_sub(since);
-        log::info!(step:%, agent:% = beside, others, waited:?, agents, able, blocked, probes; "a suspect runs beside others, as no host was free for it");
+        log::info!(step:%, agent:% = beside, others, waited:?, agents, able, blocked, probes; "a suspected task runs beside others, as no host is free for it");
     }
 
-    /// Whether no host of a pool will be free for a unit.
+    /// Whether no host of a pool will become free for a unit.
     fn is_hopeless(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> bool {
         let mut agents = self.agents.with_room(sought.pool, 0);
         !agents.any(|agent| self.could_begin(now, agent, sought, unit))
@@ -257,34 +263,38 @@
             && !lives
             && let Some(agent) = self.agents.get_mut(probe)
         {
-            // Whether it still lives has to be known before, or its end would be put down to the unit.
+            // The agent has to be heard from before the start. Otherwise, if its host has ended
+            // already, that end would be attributed to the unit.
             agent.looked = None;
             agent.next = agent.next.min(now);
         }
         free && lives
     }
 
-    /// Whether nothing is placed at an agent besides a unit but what lasts and isn't suspected.
+    /// Whether nothing is placed on an agent besides a unit and the tasks that don't disturb its
+    /// trial.
     fn is_alone(&self, agent: &Agent, unit: Unit) -> bool {
         let mut slots = agent.slots.iter();
         slots.all(|(task, slot)| self.is_apart(*task, slot, unit))
     }
 
-    /// Whether nothing besides a unit may be what ended an agent.
+    /// Whether no task outside a unit can have ended an agent.
     pub(super) fn was_alone(&self, agent: &Agent, unit: Unit) -> bool {
         let mut ran = agent.slots.iter().filter(|(_, slot)| slot.may_run());
         ran.all(|(task, slot)| self.is_apart(*task, slot, unit))
     }
 
-    /// Whether a task is of a unit, or keeps none from being tried: what lasts doesn't keep what is short,
-    /// as it is at every host of a small pool, and tells little by the time that it has been at work.
+    /// Whether a task belongs to a unit or doesn't disturb its trial. A long-running task doesn't
+    /// disturb the trial of a batch task: it is on every host of a small pool, and how long it has
+    /// run there says little. It disturbs the trial of another long-running task if it is suspected
+    /// itself.
     fn is_apart(&self, task: TaskId, slot: &Slot, unit: Unit) -> bool {
         let short = matches!(unit, Unit::Job(_));
         let harmless = slot.lasting && (short || !self.suspects.has_ended_more(task));
         harmless || Unit::of(task, slot.lasting) == unit
     }
 
-    /// Takes the probes over from an earlier leader.
+    /// Takes over the probes of an earlier leader.
     pub(super) fn inherit_probes(&mut self) {
         let suspects = self.suspects.suspected();
         let units: BTreeSet<_> = suspects
@@ -309,7 +319,7 @@
         }
     }
 
-    /// Whether a unit could run on an agent once what is short there has ended.
+    /// Whether a unit could run on an agent once the batch tasks there have ended.
     fn could_begin(&self, now: Now, agent: &Agent, sought: &Sought<'_>, unit: Unit) -> bool {
         let Sought { step, spec, .. } = *sought;
         self.is_eligible(now, step, agent)
@@ -317,13 +327,13 @@
             && self.will_be_alone(agent, unit)
     }
 
-    /// Whether a unit is alone at an agent once what is short there has ended.
+    /// Whether a unit will be alone on an agent once the batch tasks there have ended.
     fn will_be_alone(&self, agent: &Agent, unit: Unit) -> bool {
         let mut lasting = agent.slots.iter().filter(|(_, slot)| slot.lasting);
         lasting.all(|(task, slot)| self.is_apart(*task, slot, unit))
     }
 
-    /// A probe of a pool where nothing runs now.
+    /// A probe of a pool that no unit uses now.
     fn free_probe(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> Option<MinionId> {
         let Sought { pool, step, spec } = *sought;
         let probes = self.probes.agents.iter();
@@ -334,7 +344,7 @@
                 && self.is_able(now, agent)
                 && self.could_begin(now, agent, sought, unit)
         });
-        // Whose turn it is next.
+        // Prefers the probes where the unit can start at once.
         let rank = |agent: &&Agent| {
             let ready = self.is_alone(agent, unit) && place::may_run(agent, spec, step);
             (!ready, agent.record.id.clone())
@@ -343,7 +353,8 @@
         next.map(|agent| agent.record.id.clone())
     }
 
-    /// An agent that becomes a probe: a sound one that is empty soon.
+    /// An agent to become a probe: one whose host hasn't ended recently and that will be empty
+    /// soon.
     fn new_probe(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> Option<MinionId> {
         let pool = sought.pool;
         let waiting = self.probes.waiting.get(&unit);
@@ -355,7 +366,7 @@
         }
         let able = self.able(now, pool, 0);
         let able = able.filter(|agent| {
-            // Whoever runs nothing though units wait for long is of no use to others now.
+            // While units have waited too long, an agent that runs nothing can be spared.
             (!full || agent.slots.is_empty()) && self.could_begin(now, agent, sought, unit)
         });
         let rank = |agent: &&Agent| {
@@ -377,14 +388,14 @@
         able.min_by_key(rank).map(|agent| agent.record.id.clone())
     }
 
-    /// Probes of a pool.
+    /// The number of probes in a pool.
     fn count_probes(&self, pool: &PoolId) -> usize {
         let probes = self.probes.agents.keys();
         let probes = probes.filter_map(|id| self.agents.get(id));
         probes.filter(|agent| agent.record.pool == *pool).count()
     }
 
-    /// Frees the probes whose units are done, and lets those go that no unit needs.
+    /// Frees the probes whose units are done, and gives up the probes that no unit needs.
     pub(super) fn review_probes(&mut self, now: Now) {
         if self.probes.agents.is_empty() && self.probes.waiting.is_empty() {
             return;
@@ -396,7 +407,7 @@
                 agent.is_some_and(|agent| self.is_of_use(agent, *unit))
             });
         }
-        // Units wait in these pools.
+        // The pools in which suspected batch tasks wait.
         let short = self.suspects.suspected().filter(|(_, held)| !held.lasting);
         let waiting = short.filter_map(|(task, _)| {
             let ready = self.ready.get(task.step)?;
@@ -406,7 +417,8 @@
         let waiting: BTreeSet<_> = waiting.collect();
         probes.retain(|id, current| {
             let agent = self.agents.get(id);
-            // What runs there goes on, but nothing that waits for it would ever start there.
+            // If the agent takes no new tasks, what runs there goes on, but a waiting unit would
+            // never start there.
             let agent = agent.filter(|agent| {
                 let busy = current.is_some() && !agent.slots.is_empty();
                 self.is_able(now, agent) || (busy && agent.is_well() && !agent.cordoned)
--- a/src/core/workload/scheduler/storm.rs
+++ b/src/core/workload/scheduler/storm.rs
@@ -1,12 +1,13 @@
 //! Queues whose jobs end the hosts that run them, one after the other.
 //!
-//! Where a good part of a queue's new jobs is such, packing them costs a host for each crowd, and proves
-//! nothing against any of them. So jobs that nothing is known of share hosts as the queue's
-//! [`Odds`](crate::core::workload::odds::Odds) say, from alone to all together.
+//! If a good part of a queue's new jobs are poison, packing them together costs a host for each
+//! group, and proves nothing against any of them. So jobs without a record share hosts only as far
+//! as the queue's [`Odds`](crate::core::workload::odds::Odds) allow, from one per host to all
+//! together.
 //!
-//! A pool tries only so many jobs a second then. What comes beyond that isn't accepted to wait: it is
-//! refused at once, and its caller told when what waits before it will be through. How long that is follows from
-//! how many jobs of the queue wait or run, and how many were over lately.
+//! A pool can then try only so many jobs per second. Jobs beyond that aren't accepted to wait: they
+//! are refused at once, and the caller is told when the jobs that wait before will be done. That
+//! time follows from how many jobs of the queue wait or run, and how many ended recently.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -16,12 +17,12 @@
 use super::{Agent, JobId, Ledger, Name, Now, PoolId, Scheduler};
 use crate::core::workload::{command::Submission, job::Job};
 
-/// The time over which the jobs of a queue that are over are counted.
+/// The time over which the finished jobs of a queue are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// A job that takes so many times as long as it should is of no use to its caller any more.
+/// A job that takes this many times its objective is of no more use to its caller.
 const LATE: u32 = 3;
 
-/// When jobs of each queue were over, the last one last.
+/// For each queue, when its recent jobs ended, in order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departures(BTreeMap<Name, VecDeque<Now>>);
 
@@ -34,14 +35,14 @@
         }
     }
 
-    /// How many of a queue were over lately.
+    /// How many jobs of a queue ended recently.
     fn count(&self, now: Now, queue: &Name) -> usize {
         let times = self.0.get(queue).into_iter().flatten();
         times.filter(|at| now <= **at + WINDOW).count()
     }
 }
 
-/// How many jobs of each queue of a pool that ends hosts share one.
+/// For each queue of a pool whose jobs end hosts, how many of its jobs may share a host.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Apart {
     most: BTreeMap<Name, usize>,
@@ -50,7 +51,7 @@
 }
 
 impl Apart {
-    /// Whether nothing has to be kept apart.
+    /// Whether no queue is limited.
     pub(super) fn is_none(&self) -> bool {
         self.most.is_empty()
     }
@@ -59,7 +60,7 @@
         self.most.get(&job.queue).copied()
     }
 
-    /// No host was found for a job.
+    /// Notes that no host was found for a job.
     pub(super) fn note_full(&mut self, job: &Job) {
         if self.of(job).is_some() {
             self.full.insert(job.queue.clone());
@@ -73,7 +74,7 @@
 }
 
 impl Scheduler {
-    /// What has to be kept apart in a pool now.
+    /// The limits that apply in a pool now.
     pub(super) fn apart_in(&self, ledger: &Ledger, pool: &PoolId) -> Apart {
         if !ledger.has_odds() {
             return Apart::default();
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Whether a job may run beside the other short ones at an agent.
+    /// Whether a job may run beside the other batch jobs on an agent.
     pub(super) fn may_share(
         &self,
         ledger: &Ledger,
@@ -112,8 +113,9 @@
         most.is_none_or(|most| others < most)
     }
 
-    /// When to come back with a job, if it isn't accepted since it would be of no use by the time that those
-    /// of its queue which wait before it are over. So many more are about to be accepted.
+    /// When a caller should submit a job again, if the job isn't accepted: it would be of no more
+    /// use by the time the jobs of its queue that wait before it are over. `more` is how many other
+    /// jobs are about to be accepted.
     pub fn comeback(
         &self,
         now: Now,
--- a/src/core/workload/scheduler/strays.rs
+++ b/src/core/workload/scheduler/strays.rs
@@ -1,28 +1,30 @@
-//! Agents at which something may run that isn't placed there.
+//! Agents at which an attempt may run that isn't placed there (a *stray* attempt).
 //!
-//! What is placed at an agent is seen when its lease is renewed. Agents that nothing is placed at
-//! need no renewals, and yet something may run there:
+//! Attempts that are placed at an agent are seen when its lease is renewed. An agent without placed
+//! attempts needs no renewals, and yet an attempt may run there:
 //!
-//! - the agent was taken for gone while it lived, and is known again;
-//! - an earlier leader's start is carried out late, at an agent that hasn't seen this term;
-//! - this leader's start is carried out late, after the agent was taken for gone;
-//! - its lease outlived what was counted, while it didn't answer;
-//! - a stop of such an attempt got no answer.
+//! - the agent was taken for gone while it was running, and is known again;
+//! - the start of an earlier leader is carried out late, at an agent that hasn't seen this term;
+//! - a start of this leader is carried out late, after the agent was taken for gone;
+//! - the agent's lease lasted longer than the leader assumed, while the agent didn't answer;
+//! - a stop of such an attempt went unanswered.
 //!
-//! So an agent is looked at until a look that was sent after all of these has been answered, once
-//! each [`ACK_DELAY`](super::ACK_DELAY) while nothing is placed there. The first such look also
-//! tells it this leader's term, after which it refuses what earlier leaders sent.
+//! So the leader polls such an agent until it has answered a poll that was sent after all of these,
+//! once per [`ACK_DELAY`](super::ACK_DELAY) while nothing is placed there. The first such poll also
+//! tells the agent this leader's term, after which the agent refuses the orders of earlier leaders.
 
 use super::{Agent, MinionId, Now, STRAY, Scheduler};
 
 impl Scheduler {
-    /// A start that was sent then got no answer, so it may be carried out later.
+    /// Notes that a start that was sent at `sent` went unanswered, so that it may be carried out
+    /// later.
     pub(super) fn note_stray(&mut self, id: &MinionId, sent: Now) {
         let until = self.strays.entry(id.clone()).or_insert(Now::ZERO);
         *until = (*until).max(sent + STRAY);
     }
 
-    /// Forgets starts of which nothing can run any more, since the longest lease has run out too.
+    /// Forgets the starts from which nothing can run any more, since the longest lease has run out
+    /// too.
     pub(super) fn forget_strays(&mut self, now: Now) {
         let lease = self.settings.lease;
         self.strays.retain(|_, until| now < *until + lease);
@@ -30,7 +32,7 @@
 }
 
 impl Agent {
-    /// Whether something may run there that isn't placed there, with starts under way until then.
+    /// Whether a stray attempt may run there, given until when starts to it may be under way.
     pub(super) fn is_doubtful(&self, strays: Option<Now>) -> bool {
         let late = |seen| strays.is_some_and(|until| seen < until);
         self.trouble.is_some() || self.looked.is_none_or(late)
--- a/src/core/workload/scheduler/suspects.rs
+++ b/src/core/workload/scheduler/suspects.rs
@@ -1,6 +1,6 @@
-//! Tasks under which hosts have ended, and which of them are convicted.
+//! Tasks under which hosts have ended, and which of them are poison tasks.
 //!
-//! Where they run next is told by [`probes`](super::probes).
+//! [`probes`](super::probes) decides where they run next.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,14 +10,14 @@
 use super::{JobId, Ledger, Now, Phase, Scheduler, Slot, TaskId, unit::Unit};
 use crate::core::workload::{job::Job, suspicion::Evidence};
 
-/// A lasting task that has been at work for so many times as long as when hosts ended under it isn't what
-/// ended them.
+/// A long-running task is cleared once it has run for this many times the longest time after which
+/// a host ended under it.
 const PROBATION: u32 = 2;
-/// No lasting task is suspected for longer: what ended its hosts before has ended by then, or isn't known
-/// by its time.
+/// No long-running task stays suspected for longer. By then, whatever ended its hosts is over, or
+/// the time that the task runs doesn't reveal it.
 const LONGEST: Duration = Duration::from_secs(30);
 
-/// A task under which hosts have ended.
+/// The evidence against a task under which hosts have ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Held {
     pub(super) evidence: Evidence,
@@ -28,16 +28,17 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspects {
     jobs: BTreeMap<JobId, BTreeMap<TaskId, Held>>,
-    /// Tasks whose jobs fail with the next round.
+    /// Poison tasks whose jobs fail with the next round.
     convicted: Vec<TaskId>,
-    /// Their jobs, until they are over.
+    /// The jobs of poison tasks, until they are over.
     failing: BTreeSet<JobId>,
-    /// Of how many hosts that ended under each unit it turned out that another ended them.
+    /// For each unit, how many of the hosts that ended under it turned out to be ended by another
+    /// unit.
     explained: BTreeMap<Unit, u32>,
 }
 
 impl Suspects {
-    /// Nothing is held against a task any more; what was.
+    /// Drops the evidence against a task and returns it.
     pub(super) fn clear(&mut self, task: TaskId) -> Option<Held> {
         let job = task.step.job;
         let tasks = self.jobs.get_mut(&job)?;
@@ -51,21 +52,21 @@
         Some(held)
     }
 
-    /// A job is over.
+    /// Forgets a job that is over.
     pub(super) fn forget(&mut self, job: JobId) {
         self.jobs.remove(&job);
         self.failing.remove(&job);
         self.explained.retain(|unit, _| unit.job() != job);
     }
 
-    /// It turned out what ended a host under which these units ran.
+    /// Notes that a host which ran these units was ended by another.
     pub(super) fn explain(&mut self, units: BTreeSet<Unit>) {
         for unit in units {
             *self.explained.entry(unit).or_default() += 1;
         }
     }
 
-    /// Whether a task has to run where nothing else does.
+    /// Whether a task has to run apart from other tasks.
     pub(super) fn is_suspect(&self, task: TaskId, held: Held) -> bool {
         let unit = Unit::of(task, held.lasting);
         let explained = self.explained.get(&unit).copied().unwrap_or_default();
@@ -77,17 +78,17 @@
         self.jobs.contains_key(&job)
     }
 
-    /// Whether a job is about to fail, so that nothing more of it may start.
+    /// Whether a job is about to fail, so that no more of its tasks may start.
     pub(super) fn is_failing(&self, job: JobId) -> bool {
         self.failing.contains(&job)
     }
 
-    /// The tasks whose jobs are to fail now.
+    /// Takes the tasks whose jobs are to fail now.
     pub(super) fn take_convicted(&mut self) -> Vec<TaskId> {
         std::mem::take(&mut self.convicted)
     }
 
-    /// The unit that a task has to run with where nothing else does, if it is suspected.
+    /// The unit of a task, if it is suspected and so has to run apart from other tasks.
     pub(super) fn unit(&self, task: TaskId, lasting: bool) -> Option<Unit> {
         let unit = Unit::of(task, lasting);
         self.is_suspected(unit).then_some(unit)
@@ -98,7 +99,7 @@
             .any(|(task, held)| self.is_suspect(task, held))
     }
 
-    /// What is held against the tasks of a unit.
+    /// The tasks of a unit and the evidence against each.
     pub(super) fn of(&self, unit: Unit) -> impl Iterator<Item = (TaskId, Held)> {
         let tasks = self.jobs.get(&unit.job()).into_iter().flatten();
         let tasks = tasks.map(|(task, held)| (*task, *held));
@@ -114,37 +115,38 @@
         tasks.map(|(task, held)| (*task, *held))
     }
 
-    /// Whether more than one host has ended under a task.
+    /// Whether a task is suspected by the evidence against it.
     pub(super) fn has_ended_more(&self, task: TaskId) -> bool {
         let held = self.get(task);
         held.is_some_and(|held| self.is_suspect(task, held))
     }
 
-    /// The tasks that have to run where nothing else does.
+    /// The tasks that have to run apart from other tasks.
     pub(super) fn suspected(&self) -> impl Iterator<Item = (TaskId, Held)> {
         self.all()
             .filter(|(task, held)| self.is_suspect(*task, *held))
     }
 
-    /// Whether an end of a host may still turn out to be a task's doing, as it is short and isn't done. What
-    /// lasts may never be, and hosts end under most of it some time.
+    /// Whether a task may still turn out to have ended a host: it is a batch task that isn't done.
+    /// For a long-running task the question may never be settled, and hosts end under most of them
+    /// sooner or later.
     pub(super) fn is_open(&self, task: TaskId) -> bool {
         self.get(task).is_some_and(|held| !held.lasting)
     }
 }
 
 impl Scheduler {
-    /// How many tasks are suspected to end the hosts that run them.
+    /// How many tasks are suspected of ending the hosts that run them.
     pub fn suspected(&self) -> usize {
         self.suspects.suspected().count()
     }
 
-    /// The tasks that the ends of hosts are held against. Each of them may still run.
+    /// The tasks under which hosts have ended. Each of them may still run.
     pub fn held(&self) -> impl Iterator<Item = TaskId> {
         self.suspects.all().map(|(task, _)| task)
     }
 
-    /// The log holds this against a task of a job.
+    /// Takes in the evidence that the log holds against a task of a job.
     pub(super) fn suspect(&mut self, job: &Job, task: TaskId, evidence: Evidence) {
         let lasting = !job.is_short(task);
         let Evidence {
@@ -155,19 +157,19 @@
         } else {
             evidence.is_conclusive(false)
         };
-        log::info!(task:%, hosts, weight, own = own.hosts, sudden = own.weight(), conclusive; "a host has ended under a task");
+        log::info!(task:%, hosts, weight, own = own.hosts, sudden = own.weight(), conclusive; "a host ended while it ran a task");
         let tasks = self.suspects.jobs.entry(task.step.job).or_default();
         tasks.insert(task, Held { evidence, lasting });
         if conclusive && self.suspects.failing.insert(task.step.job) {
             self.suspects.convicted.push(task);
-            // The hosts that it ended were sound, and what else ran there didn't end them.
+            // The hosts that the task ended were sound, and the other tasks there didn't end them.
             for units in self.losses.explain(task.step.job) {
                 self.suspects.explain(units);
             }
         }
     }
 
-    /// Lasting tasks that have been at work for so long that nothing is held against them any more.
+    /// Clears the long-running tasks that have run for long enough, and returns them.
     pub(super) fn clear_suspects(&mut self, now: Now, ledger: &Ledger) -> Vec<TaskId> {
         let lasting = self.suspects.all().filter(|(_, held)| held.lasting);
         let cleared = lasting.filter(|(task, held)| {
@@ -182,7 +184,7 @@
         cleared
     }
 
-    /// What is known of a task where it is placed.
+    /// The slot of a task where it is placed.
     fn placed_slot(&self, ledger: &Ledger, task: TaskId) -> Option<&Slot> {
         let job = ledger.job(task.step.job)?;
         let agent = job.task(task)?.agent.as_ref()?;
--- a/src/core/workload/scheduler/touching.rs
+++ b/src/core/workload/scheduler/touching.rs
@@ -1,11 +1,13 @@
-//! Orders about hosts, one leader after the other.
+//! Keeps the orders of two leaders about the same host apart in time.
 //!
-//! What is about to be ordered of a host is committed before the order goes out, each time that it
-//! does. It rides on a round, so that it costs no entry of its own where others are made anyway: the
-//! order goes out one commit later, 10 to 15 ms, against the 1.5 s that a move takes.
+//! Before an order about a host goes out, the log says so, each time that the order is sent: the
+//! leader *touches* the host. The touch is part of a round, so that it needs no log entry of its
+//! own where a round is committed anyway. The order goes out one commit later, 10 to 15 ms, against
+//! the 1.5 s that a move takes.
 //!
-//! A new leader orders nothing of the hosts that its predecessor may have touched until the provider's
-//! time between two leaders is over, and what it likes of all others.
+//! A new leader gives no order about the hosts that its predecessor may have touched, until the
+//! time that the provider requires between two leaders is over. It may give orders about all other
+//! hosts at once.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,34 +20,36 @@
     workload::touched::{Touch, Touched},
 };
 
-/// How long an order may still be under way to the provider after the log said that it would go out:
-/// as long as the provider has to answer it.
+/// How long an order may still be under way to the provider after the log said that it would go
+/// out: as long as the provider has to answer it.
 const UNDER_WAY: Duration = Duration::from_secs(2);
-/// How often at least the log is told that time passes, while hosts that were touched may concern a
-/// successor. The wait for each of them is longer by at most this.
+/// The longest interval at which the log records that time has passed, while a successor may have
+/// to wait for touched hosts. It lengthens the wait for each of them by this at most.
 const STAMP: Duration = Duration::from_millis(250);
 
-/// What this leader may order, and what it said of it.
+/// Which orders this leader may give, and what it has written to the log about them.
 #[derive(Clone, Debug)]
 pub(super) struct Touching {
-    /// Until when nothing may be ordered of any host: nobody said what was touched before.
+    /// Until when no order about any host may be given, since the log doesn't say which hosts were
+    /// touched before.
     blind: Now,
-    /// Until when nothing may be ordered of a host.
+    /// For each host that a predecessor may have touched, until when no order about it may be
+    /// given.
     held: BTreeMap<HostId, Now>,
     /// The hosts that predecessors may have touched, as far as the log remembers.
     inherited: BTreeSet<HostId>,
-    /// When the log was told of the time last.
+    /// When the log last recorded the time.
     stamped: Option<Now>,
-    /// Until when the passing of time concerns a successor.
+    /// Until when the passing of time matters to a successor.
     concerned: Now,
 }
 
 impl Touching {
-    /// What a leader that begins now may order, given what its predecessors touched and how long
-    /// the orders of two leaders about one host must be apart.
+    /// What a leader that starts now may order, given the hosts that its predecessors touched and
+    /// the time `apart` that has to lie between the orders of two leaders about one host.
     pub(super) fn new(now: Now, apart: Duration, touched: &Touched) -> Self {
         let held = touched.ages().filter_map(|(host, age)| {
-            // Its predecessor gave its last order before now, whenever it touched the host.
+            // The predecessor gave its last order before now, whenever it touched the host.
             let wait = (apart + UNDER_WAY).saturating_sub(age).min(apart);
             (!wait.is_zero()).then(|| (host.clone(), now + wait))
         });
@@ -60,30 +64,31 @@
         }
     }
 
-    /// Whether it isn't known what was touched, so that nothing may be ordered.
+    /// Whether the touched hosts aren't known, so that no order may be given.
     pub(super) fn is_blind(&self, now: Now) -> bool {
         now < self.blind
     }
 
-    /// Whether the log said of a predecessor that it may have touched a host, however long ago that is now.
+    /// Whether the log says that a predecessor may have touched a host, however long ago.
     pub(super) fn is_inherited(&self, host: &HostId) -> bool {
         self.inherited.contains(host)
     }
 
-    /// Whether a predecessor may have touched a host too short a time ago.
+    /// Whether a predecessor may have touched a host too recently.
     pub(super) fn is_held(&self, now: Now, host: &HostId) -> bool {
         self.held.get(host).is_some_and(|until| now < *until)
     }
 }
 
 impl Scheduler {
-    /// What a round tells the log of hosts: those whose orders are due, and that time passes.
+    /// What a round writes to the log about hosts: those whose orders are due, and that time has
+    /// passed.
     pub(super) fn touch(&mut self, now: Now) -> Option<Touch> {
         let mut hosts = Vec::new();
         for (host, duty) in &mut self.hosts.duties {
             let agent = duty.agent.as_ref().and_then(|id| self.agents.get(id));
             if duty.stage == Stage::Due && agent.is_some_and(|a| !a.slots.is_empty() && !a.ending) {
-                // It has got something since it was found empty.
+                // The agent got tasks after it was found empty.
                 duty.stage = Stage::Emptying;
                 continue;
             }
@@ -116,7 +121,7 @@
         })
     }
 
-    /// A round of this leader was applied, so what it said may be ordered.
+    /// Notes that a round of this leader was applied, so that the orders it announced may go out.
     pub(super) fn touch_applied(&mut self, now: Now, round: &Round) {
         let Some(touch) = &round.touch else {
             return;
--- a/src/core/workload/scheduler/unit.rs
+++ b/src/core/workload/scheduler/unit.rs
@@ -1,17 +1,17 @@
-//! What is suspected as a whole.
+//! Groups of tasks that are suspected as a whole.
 
 use super::{JobId, StepId, TaskId};
 
-/// The tasks that are suspected with each other.
+/// The tasks that are suspected together.
 ///
-/// What is short is suspected with its job, since the tasks of a job are alike and it fails as a whole.
-/// What lasts is suspected by itself, since the tasks of a lasting job are at work on many hosts for
-/// long, and some of these end by themselves.
+/// The batch tasks of a job are suspected together, since they are alike and the job fails as a
+/// whole. A long-running task is suspected by itself: the tasks of a long-running job run on many
+/// hosts for a long time, and some of these hosts end by themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Unit {
-    /// The short tasks of a job.
+    /// The batch tasks of a job.
     Job(JobId),
-    /// A lasting task.
+    /// A long-running task.
     Task(TaskId),
 }
 
