--- a/src/core/workload/scheduler/agent.rs
+++ b/src/core/workload/scheduler/agent.rs
@@ -134,7 +134,7 @@
     pub(super) unanswered: Option<Now>,
     /// How often its current start or stop was sent.
     pub(super) tries: u32,
-    /// The tail latency that it has to stay below, if it serves requests.
+    /// The tail latency that it has to stay below, if it is latency-sensitive.
     pub(super) tail: Option<Duration>,
     /// The share of its speed at which it was last told to run, in percent.
     pub(super) share: u8,
@@ -392,7 +392,7 @@
         (self.lasting == 0 && !self.slots.is_empty()).then_some(self.ends)
     }
 
-    /// Whether any of its tasks serves requests.
+    /// Whether any of its tasks is latency-sensitive.
     pub(super) fn serves(&self) -> bool {
         self.slots.values().any(|slot| slot.tail.is_some())
     }
--- a/src/core/workload/scheduler/agents.rs
+++ b/src/core/workload/scheduler/agents.rs
@@ -7,7 +7,7 @@
 //! Afterwards, the scheduler says for each visited agent when it has to be visited next if nothing
 //! happens to it. The cost of a turn is then that of the agents it visits. When a leader visited
 //! all of 350 agents some twenty times per turn, it spent a third of its processor on that in a
-//! rush, and had no processor time left for the orders.
+//! surge, and had no processor time left for the orders.
 //!
 //! Iterations over all agents are counted. The cost of one event must not grow with the fleet, and
 //! the count shows it where a clock can't.
--- a/src/core/workload/scheduler/touching.rs
+++ b/src/core/workload/scheduler/host_intents.rs
@@ -1,13 +1,13 @@
 //! Keeps the orders of two leaders about the same host apart in time.
 //!
-//! Before an order about a host goes out, the log says so, each time that the order is sent: the
-//! leader *touches* the host. The touch is part of a round, so that it needs no log entry of its
-//! own where a round is committed anyway. The order goes out one commit later, 10 to 15 ms, against
-//! the 1.5 s that a move takes.
+//! Before an order about a host goes out, the log records the *intent* to give it, each time that
+//! the order is sent. The intent is part of a round, so that it needs no log entry of its own where
+//! a round is committed anyway. The order goes out one commit later, 10 to 15 ms, against the 1.5 s
+//! that a move takes.
 //!
-//! A new leader gives no order about the hosts that its predecessor may have touched, until the
-//! time that the provider requires between two leaders is over. It may give orders about all other
-//! hosts at once.
+//! A new leader gives no order about the hosts for which its predecessor may have given one, until
+//! the time that the provider requires between two leaders is over. It may give orders about all
+//! other hosts at once.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,19 +24,19 @@
 /// out: as long as the provider has to answer it.
 const UNDER_WAY: Duration = Duration::from_secs(2);
 /// The longest interval at which the log records that time has passed, while a successor may have
-/// to wait for touched hosts. It lengthens the wait for each of them by this at most.
+/// to wait because of an intent. It lengthens that wait by this at most.
 const STAMP: Duration = Duration::from_millis(250);
 
 /// Which orders this leader may give, and what it has written to the log about them.
 #[derive(Clone, Debug)]
 pub(super) struct Touching {
-    /// Until when no order about any host may be given, since the log doesn't say which hosts were
-    /// touched before.
+    /// Until when no order about any host may be given, since the log doesn't say about which hosts
+    /// orders were given before.
     blind: Now,
-    /// For each host that a predecessor may have touched, until when no order about it may be
-    /// given.
+    /// For each host about which a predecessor may have given an order, until when no order about
+    /// it may be given.
     held: BTreeMap<HostId, Now>,
-    /// The hosts that predecessors may have touched, as far as the log remembers.
+    /// The hosts about which predecessors may have given orders, as far as the log remembers.
     inherited: BTreeSet<HostId>,
     /// When the log last recorded the time.
     stamped: Option<Now>,
@@ -45,11 +45,11 @@
 }
 
 impl Touching {
-    /// What a leader that starts now may order, given the hosts that its predecessors touched and
-    /// the time `apart` that has to lie between the orders of two leaders about one host.
+    /// What a leader that starts now may order, given the intents of its predecessors and the time
+    /// `apart` that has to lie between the orders of two leaders about one host.
     pub(super) fn new(now: Now, apart: Duration, touched: &Touched) -> Self {
         let held = touched.ages().filter_map(|(host, age)| {
-            // The predecessor gave its last order before now, whenever it touched the host.
+            // The predecessor gave its last order before now, whenever it recorded the intent.
             let wait = (apart + UNDER_WAY).saturating_sub(age).min(apart);
             (!wait.is_zero()).then(|| (host.clone(), now + wait))
         });
@@ -64,17 +64,18 @@
         }
     }
 
-    /// Whether the touched hosts aren't known, so that no order may be given.
+    /// Whether the intents of predecessors aren't known, so that no order may be given.
     pub(super) fn is_blind(&self, now: Now) -> bool {
         now < self.blind
     }
 
-    /// Whether the log says that a predecessor may have touched a host, however long ago.
+    /// Whether the log says that a predecessor may have given an order about a host, however long
+    /// ago.
     pub(super) fn is_inherited(&self, host: &HostId) -> bool {
         self.inherited.contains(host)
     }
 
-    /// Whether a predecessor may have touched a host too recently.
+    /// Whether a predecessor may have given an order about a host too recently.
     pub(super) fn is_held(&self, now: Now, host: &HostId) -> bool {
         self.held.get(host).is_some_and(|until| now < *until)
     }
--- a/src/core/workload/scheduler/losses.rs
+++ b/src/core/workload/scheduler/losses.rs
@@ -156,10 +156,10 @@
     }
 
     /// The units that ran beside a task on hosts that ended recently, but for those of its own job.
-    /// The end of the agent `but` isn't counted.
-    pub(super) fn companions(&self, task: TaskId, but: Option<&MinionId>) -> BTreeSet<Unit> {
+    /// The end of the agent `except` isn't counted.
+    pub(super) fn companions(&self, task: TaskId, except: Option<&MinionId>) -> BTreeSet<Unit> {
         let ends = self.unexplained().filter(|loss| loss.has(task));
-        let ends = ends.filter(|loss| Some(&loss.agent) != but);
+        let ends = ends.filter(|loss| Some(&loss.agent) != except);
         ends.flat_map(|loss| loss.units_beside(task.step.job))
             .collect()
     }
@@ -277,34 +277,34 @@
 
 impl Scheduler {
     /// The commands that record the ends of agents in the log.
-    pub(super) fn bury(&mut self, now: Now, wall: Wall, gone: &BTreeSet<MinionId>) -> Vec<Command> {
+    pub(super) fn bury(&mut self, now: Now, wall: Wall, lost: &BTreeSet<MinionId>) -> Vec<Command> {
         // All ends are noted before any is judged, since ends with a common cause are reported
         // together.
-        let noted: Vec<_> = gone.iter().map(|id| self.note_loss(now, id)).collect();
-        let judged = gone.iter().zip(noted).map(|(id, noted)| {
-            let judged = noted.and_then(|loss| {
-                let together = self.is_explained(now, gone, &loss);
+        let recorded: Vec<_> = lost.iter().map(|id| self.note_loss(now, id)).collect();
+        let assessed = lost.iter().zip(recorded).map(|(id, recorded)| {
+            let assessed = recorded.and_then(|loss| {
+                let together = self.is_explained(now, lost, &loss);
                 let crash = (!together).then(|| self.judge_loss(now, wall, &loss));
                 crash.ok_or(Cause::Together)
             });
-            self.log_loss(now, id, judged.as_ref());
-            judged.map_or(Command::Gone(id.clone()), Command::Crashed)
+            self.log_loss(now, id, assessed.as_ref());
+            assessed.map_or(Command::Gone(id.clone()), Command::Crashed)
         });
-        judged.collect()
+        assessed.collect()
     }
 
     /// Logs why an agent ended, with the evidence for and against the tasks that ran there.
-    fn log_loss(&self, now: Now, id: &MinionId, judged: Result<&Crash, &Cause>) {
+    fn log_loss(&self, now: Now, id: &MinionId, assessed: Result<&Crash, &Cause>) {
         let Some(agent) = self.agents.get(id) else {
             return;
         };
-        let cause = judged.err().copied().unwrap_or(Cause::Unknown);
+        let cause = assessed.err().copied().unwrap_or(Cause::Unknown);
         let rate = self.end_rate(now, None);
         let (taint, placed) = (self.taint(now, agent), agent.slots.len());
         let (heard, trouble) = (now.saturating_sub(agent.heard), agent.trouble.is_some());
         let host = agent.home.as_deref().unwrap_or_default();
         log::info!(agent:% = id, host, cause:?, placed, heard:?, trouble, taint, rate; "an agent has ended");
-        let tasks = judged.map_or(&[][..], |crash| &crash.tasks);
+        let tasks = assessed.map_or(&[][..], |crash| &crash.tasks);
         for present in tasks {
             let Some(slot) = agent.slots.get(&present.task) else {
                 continue;
@@ -397,7 +397,7 @@
             alone && (slot.probed || !self.losses.has_just_ended(now, unit, &agent.record.id));
         let sound = self.taint(now, agent) < UNSOUND;
         // A host that wasn't heard from shortly before the start may have ended before it.
-        let lived = agent.heard + LATELY >= slot.placed;
+        let was_alive = agent.heard + LATELY >= slot.placed;
         let pool = &agent.record.pool;
         let hosts = self.agents.count(pool);
         let hazard = self.losses.hazard(now, pool, hosts, task);
@@ -408,14 +408,14 @@
         let chance = |rate: f64| decibans(rate * worked.as_secs_f64());
         // A task whose start wasn't confirmed may never have started.
         let begun = slot.begun;
-        let weight = match (alone && sound && lived && begun, slot.lasting) {
+        let weight = match (alone && sound && was_alive && begun, slot.lasting) {
             (false, _) => 0,
             // Other tasks ran there, which may have ended the host at the rate at which hosts end
             // now for any reason.
             (true, true) => chance(any),
             (true, false) => chance(by_itself + self.doubt(now, agent, unit)),
         };
-        let counts = !slot.lasting && begun && sound && lived;
+        let counts = !slot.lasting && begun && sound && was_alive;
         let sudden = match (counts && !self.was_together(agent, task, slot), alone) {
             (false, _) => 0,
             // Whatever ends other hosts didn't run here.
@@ -436,12 +436,12 @@
     fn was_only_suspect(&self, agent: &Agent, task: TaskId) -> bool {
         let mut ran = agent.slots.iter().filter(|(_, slot)| slot.may_run());
         ran.all(|(other, slot)| {
-            let innocent = if slot.lasting {
+            let harmless = if slot.lasting {
                 !self.suspects.has_ended_more(*other)
             } else {
                 self.suspects.get(*other).is_none()
             };
-            innocent || *other == task
+            harmless || *other == task
         })
     }
 
@@ -503,9 +503,9 @@
     }
 
     /// Whether the rack or the data centre of an agent that ended has lost all its agents together.
-    fn is_explained(&self, now: Now, gone: &BTreeSet<MinionId>, loss: &Loss) -> bool {
+    fn is_explained(&self, now: Now, lost: &BTreeSet<MinionId>, loss: &Loss) -> bool {
         let (mut rack, mut centre) = (loss.rack.is_some(), true);
-        let left = self.agents.iter().filter(|(id, _)| !gone.contains(*id));
+        let left = self.agents.iter().filter(|(id, _)| !lost.contains(*id));
         for (_, agent) in left {
             rack &= agent.record.rack() != loss.rack.as_ref();
             centre &= agent.record.data_centre != loss.data_centre;
--- a/src/core/workload/scheduler/mod.rs
+++ b/src/core/workload/scheduler/mod.rs
@@ -51,6 +51,7 @@
 mod demand;
 mod eligible;
 mod forecast;
+mod host_intents;
 mod hosts;
 mod jobs;
 mod learned;
@@ -58,16 +59,15 @@
 mod losses;
 mod order;
 mod place;
+mod poison_queues;
 mod presence;
 mod pressure;
 mod probes;
 mod ready;
 mod starts;
-mod storm;
 mod strays;
 mod suspects;
 mod throttle;
-mod touching;
 mod unit;
 mod vacating;
 mod waves;
@@ -88,15 +88,15 @@
     agents::Agents,
     caps::Proposed,
     eligible::{Eligible, Question},
+    host_intents::Touching,
     hosts::Hosts,
     learned::Learned,
     losses::Losses,
+    poison_queues::Departures,
     pressure::Pressure,
     probes::Probes,
     ready::{Queue, Ready},
-    storm::Departures,
     suspects::Suspects,
-    touching::Touching,
 };
 use super::{
     catalog::{Catalog, JobId},
--- a/src/core/workload/scheduler/order.rs
+++ b/src/core/workload/scheduler/order.rs
@@ -29,6 +29,7 @@
     /// The term of the leader that gives the order. Whoever has seen a higher term refuses it.
     pub term: Term,
     /// What to do.
+    #[serde(rename = "what")]
     pub what: What,
 }
 
@@ -168,6 +169,7 @@
     /// An agent of another name is at the address.
     Elsewhere,
     /// A later incarnation of the agent is at the address, and carried out the order.
+    #[serde(rename = "Reborn")]
     Reborn,
     /// All hosts.
     Hosts(Vec<HostView>),
@@ -228,7 +230,7 @@
     /// The progress in percent.
     pub percent: u32,
     /// What the attempt measured over the last half second: the tail latency in milliseconds if it
-    /// serves requests, otherwise the thousandths of a core that it used.
+    /// is latency-sensitive, otherwise the thousandths of a core that it used.
     pub measure: Option<f64>,
 }
 
--- a/src/core/workload/scheduler/storm.rs
+++ b/src/core/workload/scheduler/poison_queues.rs
@@ -105,8 +105,8 @@
         if apart.is_none() {
             return true;
         }
-        let short = agent.slots.iter().filter(|(_, slot)| !slot.lasting);
-        let others: BTreeSet<_> = short.map(|(task, _)| task.step.job).collect();
+        let batch = agent.slots.iter().filter(|(_, slot)| !slot.lasting);
+        let others: BTreeSet<_> = batch.map(|(task, _)| task.step.job).collect();
         let jobs = others.iter().chain([&id]).filter_map(|id| ledger.job(*id));
         let most = jobs.filter_map(|job| apart.of(job)).min();
         let others = others.iter().filter(|other| **other != id).count();
--- a/src/core/workload/scheduler/pressure.rs
+++ b/src/core/workload/scheduler/pressure.rs
@@ -1,6 +1,6 @@
 //! How a leader saves work while its processor is full.
 //!
-//! Half of the orders of a leader in a rush are renewals, and the next end at an agent answers the
+//! Half of the orders of a leader in a surge are renewals, and the next end at an agent answers the
 //! renewal there: with ten batch tasks at an agent, each of them costs a renewal. While there is
 //! processor time, the sooner an end is known the better. Once there is none, each renewal delays
 //! all other orders, and a pause before the next renewal lets one answer report several ends. So
@@ -12,7 +12,7 @@
 use super::{GAP, PoolId, Scheduler, learned::Learned};
 
 /// The time over which the busy part is averaged: several turns of a fully loaded leader, and less
-/// than the time in which a rush builds up.
+/// than the time in which a surge builds up.
 const MEMORY: Duration = Duration::from_millis(200);
 /// The busy parts at which the pause starts to grow and is longest. Between them, the leader still
 /// keeps up with the orders that come at once.
@@ -26,7 +26,7 @@
 
 /// The busy parts from which other control nodes relay some orders, and relay all. An exchange with
 /// an agent costs a tenth of a millisecond of processor time and the decision about it a fifth of
-/// that, so that a rush that would fill the processor leaves half of it free. While there is time,
+/// that, so that a surge that would fill the processor leaves half of it free. While there is time,
 /// an order that goes out from the leader itself arrives earlier, by one way through the mesh.
 const RELAYED: (f64, f64) = (0.2, 0.5);
 
--- a/src/core/workload/scheduler/probes.rs
+++ b/src/core/workload/scheduler/probes.rs
@@ -116,7 +116,7 @@
         };
         let pool = ready.pool.clone();
         let pool = &pool;
-        let sought = Sought { pool, step, spec };
+        let request = Sought { pool, step, spec };
         let tasks = ready.free.iter().map(|task| TaskId { step, task: *task });
         let tasks = tasks.filter_map(|task| Some((self.suspects.get(task)?, task)));
         let mut tasks: Vec<_> = tasks.collect();
@@ -127,18 +127,18 @@
             } = evidence;
             (Reverse((own.hosts, *weight, *hosts)), *task)
         });
-        for (held, task) in tasks {
+        for (entry, task) in tasks {
             if !self.may_start(ledger, step, spec, 1) {
                 return;
             }
             let unit = self.suspects.unit(task, spec.lasting);
             let agent = match unit {
-                Some(unit @ Unit::Job(_)) if self.suspects.is_suspect(task, held) => {
-                    self.probe_for(now, &sought, unit, task)
+                Some(unit @ Unit::Job(_)) if self.suspects.is_suspect(task, entry) => {
+                    self.probe_for(now, &request, unit, task)
                 }
                 // The task waits until the suspected tasks of its unit are done.
                 Some(Unit::Job(_)) => None,
-                Some(Unit::Task(_)) | None => self.apart(now, &sought, task),
+                Some(Unit::Task(_)) | None => self.apart(now, &request, task),
             };
             let Some(agent) = agent else {
                 return;
@@ -155,8 +155,8 @@
 
     /// An agent for a task that runs on no probe: away from other tasks under which hosts have
     /// ended, and where the end of the host does little harm.
-    fn apart(&self, now: Now, sought: &Sought<'_>, task: TaskId) -> Option<MinionId> {
-        let Sought { pool, step, spec } = *sought;
+    fn apart(&self, now: Now, request: &Sought<'_>, task: TaskId) -> Option<MinionId> {
+        let Sought { pool, step, spec } = *request;
         let able = self.able(now, pool, spec.room().millicores);
         let able = able.filter(|agent| {
             self.is_eligible(now, step, agent) && place::may_run(agent, spec, step)
@@ -192,7 +192,7 @@
     fn probe_for(
         &mut self,
         now: Now,
-        sought: &Sought<'_>,
+        request: &Sought<'_>,
         unit: Unit,
         task: TaskId,
     ) -> Option<MinionId> {
@@ -203,12 +203,12 @@
         let probe = self
             .probes
             .of(unit)
-            .or_else(|| self.free_probe(now, sought, unit))
-            .or_else(|| self.new_probe(now, sought, unit));
+            .or_else(|| self.free_probe(now, request, unit))
+            .or_else(|| self.new_probe(now, request, unit));
         if let Some(probe) = &probe {
             self.probes.insert(probe.clone(), unit);
         }
-        let ready = probe.filter(|probe| self.is_ready(now, probe, sought, unit));
+        let ready = probe.filter(|probe| self.is_ready(now, probe, request, unit));
         if ready.is_some() {
             self.probes.waiting.remove(&unit);
             return ready;
@@ -216,12 +216,12 @@
         let since = waiting.map_or(now, |waiting| waiting.since);
         let next = now + LOOK;
         self.probes.waiting.insert(unit, Waiting { since, next });
-        let held = self.suspects.get(task);
-        let last = held.is_some_and(|held| held.evidence.own.is_last());
-        let share = now >= since + PATIENCE && !last && self.is_hopeless(now, sought, unit);
-        let beside = share.then(|| self.apart(now, sought, task)).flatten();
+        let entry = self.suspects.get(task);
+        let last = entry.is_some_and(|entry| entry.evidence.own.is_last());
+        let share = now >= since + PATIENCE && !last && self.is_hopeless(now, request, unit);
+        let beside = share.then(|| self.apart(now, request, task)).flatten();
         if let Some(agent) = &beside {
-            self.log_beside(now, sought, unit, since, agent);
+            self.log_beside(now, request, unit, since, agent);
             // The next wait of the unit starts from zero.
             self.probes.waiting.remove(&unit);
         }
@@ -230,8 +230,15 @@
 
     /// Logs that a suspect runs beside other tasks, and what keeps the pool's hosts from being its
     /// probe.
-    fn log_beside(&self, now: Now, sought: &Sought<'_>, unit: Unit, since: Now, beside: &MinionId) {
-        let Sought { pool, step, spec } = *sought;
+    fn log_beside(
+        &self,
+        now: Now,
+        request: &Sought<'_>,
+        unit: Unit,
+        since: Now,
+        beside: &MinionId,
+    ) {
+        let Sought { pool, step, spec } = *request;
         let agents = || self.agents.with_room(pool, 0);
         let able = agents().filter(|agent| self.is_able(now, agent)).count();
         let could = agents().filter(|agent| place::could_run(agent, spec, step));
@@ -244,23 +251,23 @@
     }
 
     /// Whether no host of a pool will become free for a unit.
-    fn is_hopeless(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> bool {
-        let mut agents = self.agents.with_room(sought.pool, 0);
-        !agents.any(|agent| self.could_begin(now, agent, sought, unit))
+    fn is_hopeless(&self, now: Now, request: &Sought<'_>, unit: Unit) -> bool {
+        let mut agents = self.agents.with_room(request.pool, 0);
+        !agents.any(|agent| self.could_begin(now, agent, request, unit))
     }
 
     /// Whether a unit may start on its probe now.
-    fn is_ready(&mut self, now: Now, probe: &MinionId, sought: &Sought<'_>, unit: Unit) -> bool {
-        let Sought { step, spec, .. } = *sought;
+    fn is_ready(&mut self, now: Now, probe: &MinionId, request: &Sought<'_>, unit: Unit) -> bool {
+        let Sought { step, spec, .. } = *request;
         let Some(agent) = self.agents.get(probe) else {
             return false;
         };
         let free = self.is_able(now, agent)
             && self.is_alone(agent, unit)
             && place::may_run(agent, spec, step);
-        let lives = now <= agent.heard + LATELY;
+        let recent = now <= agent.heard + LATELY;
         if free
-            && !lives
+            && !recent
             && let Some(agent) = self.agents.get_mut(probe)
         {
             // The agent has to be heard from before the start. Otherwise, if its host has ended
@@ -268,7 +275,7 @@
             agent.looked = None;
             agent.next = agent.next.min(now);
         }
-        free && lives
+        free && recent
     }
 
     /// Whether nothing is placed on an agent besides a unit and the tasks that don't disturb its
@@ -289,8 +296,8 @@
     /// run there says little. It disturbs the trial of another long-running task if it is suspected
     /// itself.
     fn is_apart(&self, task: TaskId, slot: &Slot, unit: Unit) -> bool {
-        let short = matches!(unit, Unit::Job(_));
-        let harmless = slot.lasting && (short || !self.suspects.has_ended_more(task));
+        let batch = matches!(unit, Unit::Job(_));
+        let harmless = slot.lasting && (batch || !self.suspects.has_ended_more(task));
         harmless || Unit::of(task, slot.lasting) == unit
     }
 
@@ -298,8 +305,8 @@
     pub(super) fn inherit_probes(&mut self) {
         let suspects = self.suspects.suspected();
         let units: BTreeSet<_> = suspects
-            .filter(|(_, held)| !held.lasting)
-            .map(|(task, held)| Unit::of(task, held.lasting))
+            .filter(|(_, entry)| !entry.lasting)
+            .map(|(task, entry)| Unit::of(task, entry.lasting))
             .collect();
         for unit in units {
             let there = |agent: &Agent| {
@@ -320,8 +327,8 @@
     }
 
     /// Whether a unit could run on an agent once the batch tasks there have ended.
-    fn could_begin(&self, now: Now, agent: &Agent, sought: &Sought<'_>, unit: Unit) -> bool {
-        let Sought { step, spec, .. } = *sought;
+    fn could_begin(&self, now: Now, agent: &Agent, request: &Sought<'_>, unit: Unit) -> bool {
+        let Sought { step, spec, .. } = *request;
         self.is_eligible(now, step, agent)
             && place::could_run(agent, spec, step)
             && self.will_be_alone(agent, unit)
@@ -334,15 +341,15 @@
     }
 
     /// A probe of a pool that no unit uses now.
-    fn free_probe(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> Option<MinionId> {
-        let Sought { pool, step, spec } = *sought;
+    fn free_probe(&self, now: Now, request: &Sought<'_>, unit: Unit) -> Option<MinionId> {
+        let Sought { pool, step, spec } = *request;
         let probes = self.probes.agents.iter();
         let free = probes.filter(|(_, current)| current.is_none());
         let free = free.filter_map(|(id, _)| self.agents.get(id));
         let free = free.filter(|agent| {
             agent.record.pool == *pool
                 && self.is_able(now, agent)
-                && self.could_begin(now, agent, sought, unit)
+                && self.could_begin(now, agent, request, unit)
         });
         // Prefers the probes where the unit can start at once.
         let rank = |agent: &&Agent| {
@@ -355,8 +362,8 @@
 
     /// An agent to become a probe: one whose host hasn't ended recently and that will be empty
     /// soon.
-    fn new_probe(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> Option<MinionId> {
-        let pool = sought.pool;
+    fn new_probe(&self, now: Now, request: &Sought<'_>, unit: Unit) -> Option<MinionId> {
+        let pool = request.pool;
         let waiting = self.probes.waiting.get(&unit);
         let patient = waiting.is_none_or(|waiting| now < waiting.since + PATIENCE);
         let part = if patient { PROBES.0 } else { PROBES.1 };
@@ -367,7 +374,7 @@
         let able = self.able(now, pool, 0);
         let able = able.filter(|agent| {
             // While units have waited too long, an agent that runs nothing can be spared.
-            (!full || agent.slots.is_empty()) && self.could_begin(now, agent, sought, unit)
+            (!full || agent.slots.is_empty()) && self.could_begin(now, agent, request, unit)
         });
         let rank = |agent: &&Agent| {
             let lasts = agent.slots.values().any(|slot| slot.lasting);
@@ -408,8 +415,11 @@
             });
         }
         // The pools in which suspected batch tasks wait.
-        let short = self.suspects.suspected().filter(|(_, held)| !held.lasting);
-        let waiting = short.filter_map(|(task, _)| {
+        let batch = self
+            .suspects
+            .suspected()
+            .filter(|(_, entry)| !entry.lasting);
+        let waiting = batch.filter_map(|(task, _)| {
             let ready = self.ready.get(task.step)?;
             let waits = ready.free.contains(&task.task);
             waits.then(|| ready.pool.clone())
--- a/src/core/workload/scheduler/strays.rs
+++ b/src/core/workload/scheduler/strays.rs
@@ -3,9 +3,9 @@
 //! Attempts that are placed at an agent are seen when its lease is renewed. An agent without placed
 //! attempts needs no renewals, and yet an attempt may run there:
 //!
-//! - the agent was taken for gone while it was running, and is known again;
+//! - the agent was taken for lost while it was running, and is known again;
 //! - the start of an earlier leader is carried out late, at an agent that hasn't seen this term;
-//! - a start of this leader is carried out late, after the agent was taken for gone;
+//! - a start of this leader is carried out late, after the agent was taken for lost;
 //! - the agent's lease lasted longer than the leader assumed, while the agent didn't answer;
 //! - a stop of such an attempt went unanswered.
 //!
--- a/src/core/workload/scheduler/suspects.rs
+++ b/src/core/workload/scheduler/suspects.rs
@@ -42,14 +42,14 @@
     pub(super) fn clear(&mut self, task: TaskId) -> Option<Held> {
         let job = task.step.job;
         let tasks = self.jobs.get_mut(&job)?;
-        let held = tasks.remove(&task)?;
+        let entry = tasks.remove(&task)?;
         if tasks.is_empty() {
             self.jobs.remove(&job);
         }
-        if held.lasting {
-            self.explained.remove(&Unit::of(task, held.lasting));
+        if entry.lasting {
+            self.explained.remove(&Unit::of(task, entry.lasting));
         }
-        Some(held)
+        Some(entry)
     }
 
     /// Forgets a job that is over.
@@ -67,10 +67,10 @@
     }
 
     /// Whether a task has to run apart from other tasks.
-    pub(super) fn is_suspect(&self, task: TaskId, held: Held) -> bool {
-        let unit = Unit::of(task, held.lasting);
+    pub(super) fn is_suspect(&self, task: TaskId, entry: Held) -> bool {
+        let unit = Unit::of(task, entry.lasting);
         let explained = self.explained.get(&unit).copied().unwrap_or_default();
-        held.evidence.is_suspect_without(explained)
+        entry.evidence.is_suspect_without(explained)
     }
 
     /// Whether hosts have ended under any task of a job.
@@ -96,14 +96,14 @@
 
     pub(super) fn is_suspected(&self, unit: Unit) -> bool {
         self.of(unit)
-            .any(|(task, held)| self.is_suspect(task, held))
+            .any(|(task, entry)| self.is_suspect(task, entry))
     }
 
     /// The tasks of a unit and the evidence against each.
     pub(super) fn of(&self, unit: Unit) -> impl Iterator<Item = (TaskId, Held)> {
         let tasks = self.jobs.get(&unit.job()).into_iter().flatten();
-        let tasks = tasks.map(|(task, held)| (*task, *held));
-        tasks.filter(move |(task, held)| Unit::of(*task, held.lasting) == unit)
+        let tasks = tasks.map(|(task, entry)| (*task, *entry));
+        tasks.filter(move |(task, entry)| Unit::of(*task, entry.lasting) == unit)
     }
 
     pub(super) fn get(&self, task: TaskId) -> Option<Held> {
@@ -112,26 +112,26 @@
 
     pub(super) fn all(&self) -> impl Iterator<Item = (TaskId, Held)> {
         let tasks = self.jobs.values().flatten();
-        tasks.map(|(task, held)| (*task, *held))
+        tasks.map(|(task, entry)| (*task, *entry))
     }
 
     /// Whether a task is suspected by the evidence against it.
     pub(super) fn has_ended_more(&self, task: TaskId) -> bool {
-        let held = self.get(task);
-        held.is_some_and(|held| self.is_suspect(task, held))
+        let entry = self.get(task);
+        entry.is_some_and(|entry| self.is_suspect(task, entry))
     }
 
     /// The tasks that have to run apart from other tasks.
     pub(super) fn suspected(&self) -> impl Iterator<Item = (TaskId, Held)> {
         self.all()
-            .filter(|(task, held)| self.is_suspect(*task, *held))
+            .filter(|(task, entry)| self.is_suspect(*task, *entry))
     }
 
     /// Whether a task may still turn out to have ended a host: it is a batch task that isn't done.
     /// For a long-running task the question may never be settled, and hosts end under most of them
     /// sooner or later.
     pub(super) fn is_open(&self, task: TaskId) -> bool {
-        self.get(task).is_some_and(|held| !held.lasting)
+        self.get(task).is_some_and(|entry| !entry.lasting)
     }
 }
 
@@ -171,11 +171,11 @@
 
     /// Clears the long-running tasks that have run for long enough, and returns them.
     pub(super) fn clear_suspects(&mut self, now: Now, ledger: &Ledger) -> Vec<TaskId> {
-        let lasting = self.suspects.all().filter(|(_, held)| held.lasting);
-        let cleared = lasting.filter(|(task, held)| {
-            let probation = (held.evidence.longest * PROBATION).min(LONGEST);
+        let lasting = self.suspects.all().filter(|(_, entry)| entry.lasting);
+        let cleared = lasting.filter(|(task, entry)| {
+            let clearance = (entry.evidence.longest * PROBATION).min(LONGEST);
             let slot = self.placed_slot(ledger, *task);
-            slot.is_some_and(|slot| slot.phase == Phase::Running && now >= slot.since + probation)
+            slot.is_some_and(|slot| slot.phase == Phase::Running && now >= slot.since + clearance)
         });
         let cleared: Vec<_> = cleared.map(|(task, _)| task).collect();
         for task in &cleared {
