--- a/src/core/workload/scheduler/agent.rs
+++ b/src/core/workload/scheduler/agent.rs
@@ -144,7 +144,7 @@
     pub(super) long_running: bool,
     /// Whether its agent has confirmed that it started. If an earlier leader placed it: as far as
     /// that leader knew.
-    pub(super) begun: bool,
+    pub(super) started: bool,
     /// Whether a report of its agent has listed it.
     pub(super) reported: bool,
     /// Whether hosts had ended under it before.
@@ -427,7 +427,7 @@
     }
 
     /// Notes that a task of a job failed here. Returns whether the agent is excluded because of it.
-    pub(super) fn failed(&mut self, now: Now, job: JobId) -> bool {
+    pub(super) fn task_failed(&mut self, now: Now, job: JobId) -> bool {
         if !self.failed_jobs.contains(&job) {
             self.failed_jobs.push(job);
         }
@@ -458,7 +458,7 @@
             share: FULL,
             best_effort: spec.best_effort,
             long_running: spec.lasting,
-            begun: false,
+            started: false,
             reported: false,
             has_evidence: false,
             on_probe: false,
@@ -508,7 +508,7 @@
 
     /// The attempt as placed, if it is a batch task and nothing has shown that it started.
     pub(super) fn not_started(&self, task: TaskId, agent: &MinionId) -> Option<Placed> {
-        (!self.begun && !self.long_running).then(|| Placed {
+        (!self.started && !self.long_running).then(|| Placed {
             task,
             attempt: self.attempt,
             agent: agent.clone(),
--- a/src/core/workload/scheduler/agents.rs
+++ b/src/core/workload/scheduler/agents.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Agents {
     /// Iterations go by the sorted `ids`, so that decisions don't depend on the hasher.
-    known: Map<MinionId, Entry>,
+    entries: Map<MinionId, Entry>,
     ids: BTreeSet<MinionId>,
     /// The known incarnations of each agent.
     by_name: Map<Name, Vec<MinionId>>,
@@ -79,12 +79,12 @@
 
 impl Agents {
     pub(super) fn get(&self, id: &MinionId) -> Option<&Agent> {
-        self.known.get(id).map(|entry| &entry.agent)
+        self.entries.get(id).map(|entry| &entry.agent)
     }
 
     /// Returns an agent to be changed, and marks it as dirty.
     pub(super) fn get_mut(&mut self, id: &MinionId) -> Option<&mut Agent> {
-        let entry = self.known.get_mut(id)?;
+        let entry = self.entries.get_mut(id)?;
         entry.mark_dirty(&mut self.dirty);
         Some(&mut entry.agent)
     }
@@ -104,13 +104,13 @@
         };
         self.dirty.push(id.clone());
         self.ids.insert(id.clone());
-        self.known.insert(id, entry);
+        self.entries.insert(id, entry);
     }
 
     pub(super) fn remove(&mut self, id: &MinionId) {
         let Some(Entry {
             agent, due, free, ..
-        }) = self.known.remove(id)
+        }) = self.entries.remove(id)
         else {
             return;
         };
@@ -188,7 +188,7 @@
 
     /// The ids of the dirty agents that don't answer, in order.
     pub(super) fn dirty_unresponsive(&self) -> Vec<MinionId> {
-        let stirred = |id: &&MinionId| self.known.get(*id).is_some_and(|entry| entry.dirty);
+        let stirred = |id: &&MinionId| self.entries.get(*id).is_some_and(|entry| entry.dirty);
         let ids: Vec<_> = self.unresponsive.iter().filter(stirred).cloned().collect();
         self.visits.set(self.visits.get() + ids.len());
         ids
@@ -200,7 +200,7 @@
             let Some((_, id)) = self.timers.pop_first() else {
                 break;
             };
-            if let Some(entry) = self.known.get_mut(&id) {
+            if let Some(entry) = self.entries.get_mut(&id) {
                 entry.due = None;
                 entry.mark_dirty(&mut self.dirty);
             }
@@ -212,7 +212,7 @@
     /// pool.
     pub(super) fn update_indexes(&mut self) {
         for id in &self.dirty {
-            let Some(entry) = self.known.get_mut(id) else {
+            let Some(entry) = self.entries.get_mut(id) else {
                 continue;
             };
             entry.reindex(&mut self.pools);
@@ -227,7 +227,7 @@
     /// Updates the free room of an agent that has just got or lost a task, where the index is
     /// needed at once.
     pub(super) fn reindex(&mut self, id: &MinionId) {
-        if let Some(entry) = self.known.get_mut(id) {
+        if let Some(entry) = self.entries.get_mut(id) {
             entry.reindex(&mut self.pools);
         }
     }
@@ -235,7 +235,7 @@
     /// Marks all agents as dirty, as if each had changed. The decisions must not depend on it.
     pub(super) fn mark_all_dirty(&mut self) {
         for id in &self.ids {
-            if let Some(entry) = self.known.get_mut(id) {
+            if let Some(entry) = self.entries.get_mut(id) {
                 entry.mark_dirty(&mut self.dirty);
             }
         }
@@ -255,7 +255,7 @@
     /// dirty no more.
     pub(super) fn schedule_visits(&mut self, next: impl Fn(&MinionId, &Agent) -> Option<Now>) {
         for id in std::mem::take(&mut self.dirty) {
-            let Some(entry) = self.known.get_mut(&id).filter(|entry| entry.dirty) else {
+            let Some(entry) = self.entries.get_mut(&id).filter(|entry| entry.dirty) else {
                 continue;
             };
             entry.dirty = false;
--- a/src/core/workload/scheduler/answers.rs
+++ b/src/core/workload/scheduler/answers.rs
@@ -73,7 +73,7 @@
                     acked,
                     extends,
                 };
-                self.renewed(now, &about, &agent, answer);
+                self.renewal_answered(now, &about, &agent, answer);
             }
             About::Hosts => {
                 self.hosts_listed(now, sent, answer);
@@ -136,7 +136,7 @@
         }
         match answer {
             Answer::Done { .. } => {
-                slot.begun = true;
+                slot.started = true;
                 slot.set_phase(now, Phase::Running);
             }
             Answer::Silent if slot.tries < TRIES => slot.set_phase(now, Phase::Due),
@@ -212,7 +212,7 @@
         }
     }
 
-    fn renewed(&mut self, now: Now, renewal: &SentRenewal, id: &MinionId, answer: Answer) {
+    fn renewal_answered(&mut self, now: Now, renewal: &SentRenewal, id: &MinionId, answer: Answer) {
         let SentRenewal {
             sent,
             acked,
@@ -284,7 +284,7 @@
             slot.fully_running = !slot.inherited && seen.is_some_and(|r| r.percent >= FULL_PERCENT);
             let here = seen.is_some();
             slot.reported |= here;
-            slot.begun |= here;
+            slot.started |= here;
             if here && slot.phase == Phase::Unsure {
                 slot.unanswered = None;
                 slot.set_phase(now, Phase::Running);
@@ -386,7 +386,7 @@
             }
             match ended.how {
                 Ending::Done => agent.task_succeeded(),
-                Ending::Failed if agent.failed(now, ended.task.step.job) => {
+                Ending::Failed if agent.task_failed(now, ended.task.step.job) => {
                     log::info!(agent:% = id; "an agent is excluded, as several jobs failed there");
                 }
                 _ => {}
--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -44,7 +44,7 @@
             // What the earlier leader sent last may still be under way.
             slot.unanswered = Some(now);
             slot.inherited = true;
-            slot.begun = !placed.unbegun;
+            slot.started = !placed.unbegun;
             slot.share = UNTOLD;
             if self.settings.protections.inherit {
                 agent.add(task, slot);
--- a/src/core/workload/scheduler/losses.rs
+++ b/src/core/workload/scheduler/losses.rs
@@ -113,7 +113,7 @@
     recent: VecDeque<Loss>,
     /// How many ends earlier leaders had counted when this leader's term began.
     earlier_ends: u32,
-    began: Now,
+    term_start: Now,
     /// The recent busy time of all hosts together, and the time up to which it is counted.
     busy_time: Duration,
     counted_until: Now,
@@ -125,7 +125,7 @@
         Self {
             recent: VecDeque::new(),
             earlier_ends: before.ends,
-            began: now,
+            term_start: now,
             busy_time: before.worked,
             counted_until: now,
         }
@@ -133,7 +133,7 @@
 
     /// How many agents of a host, other than the given one, ended recently for an unknown reason.
     /// Ends under a task that has ended other hosts too are attributed to that task.
-    fn count(&self, now: Now, host: &HostId, agent: &MinionId, suspects: &Suspects) -> usize {
+    fn count_ends(&self, now: Now, host: &HostId, agent: &MinionId, suspects: &Suspects) -> usize {
         let ends = self.unexplained().filter(|loss| loss.agent != *agent);
         let ends =
             ends.filter(|loss| loss.host.as_ref() == Some(host) && now < loss.at + TAINT_DURATION);
@@ -236,13 +236,14 @@
 
     /// How many hosts were seen to end by themselves, and in how much busy time. Ends under `task`
     /// aren't counted.
-    fn seen(&self, now: Now, suspects: &Suspects, task: Option<TaskId>) -> Seen {
+    fn observed(&self, now: Now, suspects: &Suspects, task: Option<TaskId>) -> Seen {
         let lately = self
             .unexplained()
             .filter(|loss| now < loss.at + RATE_WINDOW);
         let others = lately.filter(|loss| !task.is_some_and(|task| loss.has(task)));
         let ends = others.filter(|loss| !loss.is_undecided(suspects)).count();
-        let before = f64::from(self.earlier_ends) * decay_factor(now.saturating_sub(self.began));
+        let before =
+            f64::from(self.earlier_ends) * decay_factor(now.saturating_sub(self.term_start));
         Seen {
             worked: self.busy_time,
             ends: u32::try_from(ends).unwrap_or(u32::MAX) + before.round() as u32,
@@ -404,7 +405,7 @@
         Crash {
             agent: loss.agent.clone(),
             tasks: tasks.collect(),
-            seen: self.losses.seen(now, &self.suspects, None),
+            seen: self.losses.observed(now, &self.suspects, None),
         }
     }
 
@@ -420,7 +421,7 @@
         // The agent had ended by the time its first order went unanswered.
         let end = agent.silent_since.unwrap_or(now);
         let after = now.saturating_sub(end);
-        let worked = self.worked(now, wall, task, slot).saturating_sub(after);
+        let worked = self.run_time(now, wall, task, slot).saturating_sub(after);
         let unit = SuspectUnit::of(task, slot.long_running);
         let alone = if slot.long_running {
             self.was_only_suspect(agent, task)
@@ -443,7 +444,7 @@
         let any = hazard.max(by_itself);
         let chance = |rate: f64| decibans(rate * worked.as_secs_f64());
         // A task whose start wasn't confirmed may never have started.
-        let begun = slot.begun;
+        let begun = slot.started;
         let weight = match (alone && sound && was_alive && begun, slot.long_running) {
             (false, _) => 0,
             // Other tasks ran there, which may have ended the host at the rate at which hosts end
@@ -510,7 +511,7 @@
     }
 
     /// For how long a task may have been running where it is now.
-    fn worked(&self, now: Now, wall: Wall, task: TaskId, slot: &Slot) -> Duration {
+    fn run_time(&self, now: Now, wall: Wall, task: TaskId, slot: &Slot) -> Duration {
         let known = now.saturating_sub(slot.placed_at);
         if !slot.inherited {
             return known;
@@ -525,7 +526,7 @@
     /// The rate at which hosts end by themselves, in ends per second and host. Hosts on which
     /// `task` ran aren't counted.
     fn end_rate(&self, now: Now, task: Option<TaskId>) -> f64 {
-        let seen = self.losses.seen(now, &self.suspects, task);
+        let seen = self.losses.observed(now, &self.suspects, task);
         (f64::from(seen.ends) + PRIOR_ENDS) / seen.worked.as_secs_f64().max(f64::EPSILON)
     }
 
@@ -535,7 +536,7 @@
         let home = agent.host.as_ref();
         let count = |host| {
             let id = &agent.record.id;
-            self.losses.count(now, host, id, &self.suspects)
+            self.losses.count_ends(now, host, id, &self.suspects)
         };
         home.map_or(1, count)
     }
--- a/src/core/workload/scheduler/poison_queues.rs
+++ b/src/core/workload/scheduler/poison_queues.rs
@@ -18,7 +18,7 @@
 use crate::core::workload::{command::Submission, job::Job};
 
 /// The time over which the finished jobs of a queue are counted.
-const WINDOW: Duration = Duration::from_secs(4);
+const COMPLETION_WINDOW: Duration = Duration::from_secs(4);
 /// A job that takes this many times its objective is of no more use to its caller.
 const MAX_DELAY_FACTOR: u32 = 3;
 
@@ -30,15 +30,18 @@
     pub(super) fn record(&mut self, now: Now, queue: &Name) {
         let times = self.0.entry(queue.clone()).or_default();
         times.push_back(now);
-        while times.front().is_some_and(|at| *at + WINDOW < now) {
+        while times
+            .front()
+            .is_some_and(|at| *at + COMPLETION_WINDOW < now)
+        {
             times.pop_front();
         }
     }
 
     /// How many jobs of a queue ended recently.
-    fn count(&self, now: Now, queue: &Name) -> usize {
+    fn count_ends(&self, now: Now, queue: &Name) -> usize {
         let times = self.0.get(queue).into_iter().flatten();
-        times.filter(|at| now <= **at + WINDOW).count()
+        times.filter(|at| now <= **at + COMPLETION_WINDOW).count()
     }
 }
 
@@ -137,8 +140,8 @@
         let live = live.filter(|other| other.queue == *queue && !other.is_over());
         let live = live.filter(|other| other.spec.steps.iter().all(|step| !step.lasting));
         let before = u32::try_from(live.count() + more).unwrap_or(u32::MAX);
-        let over = self.departures.count(now, queue).max(1);
-        let wait = WINDOW * before / u32::try_from(over).unwrap_or(u32::MAX);
+        let over = self.departures.count_ends(now, queue).max(1);
+        let wait = COMPLETION_WINDOW * before / u32::try_from(over).unwrap_or(u32::MAX);
         let job = Job::new(queue.clone(), pool.clone(), spec.clone(), *accepted);
         wait.checked_sub(self.objective(&job) * MAX_DELAY_FACTOR)
     }
--- a/src/core/workload/scheduler/presence.rs
+++ b/src/core/workload/scheduler/presence.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Presence<K> {
     /// For each thing, when the last list that had it was requested.
-    listed: BTreeMap<K, Now>,
+    last_listed: BTreeMap<K, Now>,
     /// When the latest lists were requested.
     requested: VecDeque<Now>,
 }
@@ -29,7 +29,7 @@
 impl<K> Default for Presence<K> {
     fn default() -> Self {
         Self {
-            listed: BTreeMap::new(),
+            last_listed: BTreeMap::new(),
             requested: VecDeque::with_capacity(LISTS_TO_CONFIRM),
         }
     }
@@ -42,10 +42,10 @@
             self.requested.pop_front();
         }
         self.requested.push_back(sent);
-        self.listed.extend(present.map(|key| (key, sent)));
+        self.last_listed.extend(present.map(|key| (key, sent)));
         if let Some(oldest) = self.requested.front().copied() {
             // Only the latest lists count, so older sightings are dropped.
-            self.listed.retain(|_, listed| *listed >= oldest);
+            self.last_listed.retain(|_, listed| *listed >= oldest);
         }
     }
 
@@ -65,6 +65,10 @@
     }
 
     fn is_missing_from(&self, key: &K, sent: Now, since: Now) -> bool {
-        sent > since && self.listed.get(key).is_none_or(|listed| *listed < sent)
+        sent > since
+            && self
+                .last_listed
+                .get(key)
+                .is_none_or(|listed| *listed < sent)
     }
 }
--- a/src/core/workload/scheduler/pressure.rs
+++ b/src/core/workload/scheduler/pressure.rs
@@ -22,7 +22,7 @@
 /// fully loaded leader starts a sixth more tasks per second than without a longer pause, and a
 /// fifteenth more with half of this part (in the simulated world of the tests, with measured
 /// processor times).
-const LONGEST: f64 = 0.25;
+const MAX_PAUSE: f64 = 0.25;
 
 /// The busy parts from which other control nodes relay some orders, and relay all. An exchange with
 /// an agent costs a tenth of a millisecond of processor time and the decision about it a fifth of
@@ -63,7 +63,7 @@
     /// The pause from an answer of an agent of a pool to the next renewal there.
     pub(super) fn renewal_pause(&self, pool: &PoolId) -> Duration {
         let mean = self.learned.get(pool).map(Learned::mean);
-        let longest = mean.unwrap_or_default().mul_f64(LONGEST).max(GAP);
+        let longest = mean.unwrap_or_default().mul_f64(MAX_PAUSE).max(GAP);
         GAP + (longest - GAP).mul_f64(self.pressure.level())
     }
 }
--- a/src/core/workload/scheduler/probes.rs
+++ b/src/core/workload/scheduler/probes.rs
@@ -41,7 +41,7 @@
 struct Waiting {
     since: Now,
     /// When to search again.
-    next: Now,
+    next_search: Now,
 }
 
 /// The agents that are probes.
@@ -198,7 +198,7 @@
         task: TaskId,
     ) -> Option<MinionId> {
         let waiting = self.probes.waiting.get(&unit).copied();
-        if waiting.is_some_and(|waiting| now < waiting.next) {
+        if waiting.is_some_and(|waiting| now < waiting.next_search) {
             return None;
         }
         let probe = self
@@ -216,7 +216,13 @@
         }
         let since = waiting.map_or(now, |waiting| waiting.since);
         let next = now + SEARCH_INTERVAL;
-        self.probes.waiting.insert(unit, Waiting { since, next });
+        self.probes.waiting.insert(
+            unit,
+            Waiting {
+                since,
+                next_search: next,
+            },
+        );
         let entry = self.suspects.get(task);
         let last = entry.is_some_and(|entry| entry.evidence.own.is_last());
         let share =
@@ -482,6 +488,6 @@
         self.suspects.is_unit_suspected(unit)
             && self.will_be_alone(agent, unit)
             && (there.any(|(task, slot)| SuspectUnit::of(*task, slot.long_running) == unit)
-                || self.suspects.of(unit).any(|(task, _)| waits(task)))
+                || self.suspects.of_unit(unit).any(|(task, _)| waits(task)))
     }
 }
--- a/src/core/workload/scheduler/suspects.rs
+++ b/src/core/workload/scheduler/suspects.rs
@@ -96,12 +96,15 @@
     }
 
     pub(super) fn is_unit_suspected(&self, unit: SuspectUnit) -> bool {
-        self.of(unit)
+        self.of_unit(unit)
             .any(|(task, entry)| self.is_suspect(task, entry))
     }
 
     /// The tasks of a unit and the evidence against each.
-    pub(super) fn of(&self, unit: SuspectUnit) -> impl Iterator<Item = (TaskId, TaskEvidence)> {
+    pub(super) fn of_unit(
+        &self,
+        unit: SuspectUnit,
+    ) -> impl Iterator<Item = (TaskId, TaskEvidence)> {
         let tasks = self.jobs.get(&unit.job()).into_iter().flatten();
         let tasks = tasks.map(|(task, entry)| (*task, *entry));
         tasks.filter(move |(task, entry)| SuspectUnit::of(*task, entry.long_running) == unit)
@@ -143,7 +146,7 @@
     }
 
     /// The tasks under which hosts have ended. Each of them may still run.
-    pub fn held(&self) -> impl Iterator<Item = TaskId> {
+    pub fn tasks_with_evidence(&self) -> impl Iterator<Item = TaskId> {
         self.suspects.all().map(|(task, _)| task)
     }
 
--- a/tests/workload/world.rs
+++ b/tests/workload/world.rs
@@ -972,7 +972,10 @@
 
     /// The ends of hosts are held against nothing that never runs again: it would keep others waiting.
     fn check_held(&self) {
-        let held = self.scheduler.iter().flat_map(Scheduler::held);
+        let held = self
+            .scheduler
+            .iter()
+            .flat_map(Scheduler::tasks_with_evidence);
         for task in held {
             assert!(
                 self.may_run(task),
