--- a/src/core/workload/scheduler/agent.rs
+++ b/src/core/workload/scheduler/agent.rs
@@ -444,7 +444,7 @@
 impl Slot {
     /// An attempt at a task of a step.
     pub(super) fn new(spec: &StepSpec, attempt: Attempt, phase: Phase, now: Now) -> Self {
-        let plain = spec.data_rack.is_none() && !spec.one_rack;
+        let plain_estimate = spec.data_rack.is_none() && !spec.one_rack;
         Self {
             attempt,
             room: spec.room(),
@@ -464,12 +464,12 @@
             on_probe: false,
             fully_running: false,
             inherited: false,
-            estimate: if plain {
+            estimate: if plain_estimate {
                 spec.estimate
             } else {
                 spec.estimate * FAR_FACTOR
             },
-            plain_estimate: plain,
+            plain_estimate,
         }
     }
 
--- a/src/core/workload/scheduler/agents.rs
+++ b/src/core/workload/scheduler/agents.rs
@@ -32,13 +32,13 @@
     /// The known incarnations of each agent.
     by_name: Map<Name, Vec<MinionId>>,
     /// The agents of each pool, ordered by their free thousandths of a core, as of the last
-    /// [`Agents::index`].
+    /// [`Agents::update_indexes`].
     pools: BTreeMap<PoolId, BTreeSet<(u64, MinionId)>>,
     /// When agents have to be visited. Each agent has at most one entry.
     timers: BTreeSet<(Now, MinionId)>,
     /// The agents that may have changed since their last visit.
     dirty: Vec<MinionId>,
-    /// The agents that don't answer, as of the last [`Agents::index`].
+    /// The agents that don't answer, as of the last [`Agents::update_indexes`].
     unresponsive: BTreeSet<MinionId>,
     /// The number of visits of agents.
     visits: Cell<usize>,
@@ -48,18 +48,18 @@
 struct Entry {
     agent: Agent,
     dirty: bool,
-    /// The time of its entry in the agenda.
+    /// The time of its entry in `timers`.
     due: Option<Now>,
     /// The free thousandths of a core of its entry in its pool.
     free: u64,
 }
 
 impl Entry {
-    /// Marks the agent as dirty and adds it to `stirred`, unless it is dirty already.
-    fn mark_dirty(&mut self, stirred: &mut Vec<MinionId>) {
+    /// Marks the agent as dirty and adds it to `dirty`, unless it is dirty already.
+    fn mark_dirty(&mut self, dirty: &mut Vec<MinionId>) {
         if !self.dirty {
             self.dirty = true;
-            stirred.push(self.agent.record.id.clone());
+            dirty.push(self.agent.record.id.clone());
         }
     }
 
@@ -188,8 +188,8 @@
 
     /// The ids of the dirty agents that don't answer, in order.
     pub(super) fn dirty_unresponsive(&self) -> Vec<MinionId> {
-        let stirred = |id: &&MinionId| self.entries.get(*id).is_some_and(|entry| entry.dirty);
-        let ids: Vec<_> = self.unresponsive.iter().filter(stirred).cloned().collect();
+        let dirty = |id: &&MinionId| self.entries.get(*id).is_some_and(|entry| entry.dirty);
+        let ids: Vec<_> = self.unresponsive.iter().filter(dirty).cloned().collect();
         self.visits.set(self.visits.get() + ids.len());
         ids
     }
--- a/src/core/workload/scheduler/answers.rs
+++ b/src/core/workload/scheduler/answers.rs
@@ -251,8 +251,8 @@
                 if agent.failing_since.is_none() {
                     log::info!(agent:% = id; "an agent doesn't answer");
                     let slots = agent.slots.iter();
-                    let unbegun = slots.filter_map(|(task, slot)| slot.not_started(*task, id));
-                    self.unbegun.extend(unbegun);
+                    let not_started = slots.filter_map(|(task, slot)| slot.not_started(*task, id));
+                    self.unbegun.extend(not_started);
                 }
                 agent.failing_since.get_or_insert(sent);
                 agent.silent_since.get_or_insert(now);
--- a/src/core/workload/scheduler/host_intents.rs
+++ b/src/core/workload/scheduler/host_intents.rs
@@ -35,7 +35,7 @@
     blind_until: Now,
     /// For each host about which a predecessor may have given an order, until when no order about
     /// it may be given.
-    held: BTreeMap<HostId, Now>,
+    held_until: BTreeMap<HostId, Now>,
     /// The hosts about which predecessors may have given orders, as far as the log remembers.
     inherited: BTreeSet<HostId>,
     /// When the log last recorded the time.
@@ -48,16 +48,16 @@
     /// What a leader that starts now may order, given the intents of its predecessors and the time
     /// `apart` that has to lie between the orders of two leaders about one host.
     pub(super) fn new(now: Now, apart: Duration, touched: &Touched) -> Self {
-        let held = touched.ages().filter_map(|(host, age)| {
+        let held_until = touched.ages().filter_map(|(host, age)| {
             // The predecessor gave its last order before now, whenever it recorded the intent.
             let wait = (apart + MAX_ORDER_DELAY).saturating_sub(age).min(apart);
             (!wait.is_zero()).then(|| (host.clone(), now + wait))
         });
-        let held: BTreeMap<_, _> = held.collect();
-        let blind = if touched.is_kept() { now } else { now + apart };
+        let held_until: BTreeMap<_, _> = held_until.collect();
+        let blind_until = if touched.is_kept() { now } else { now + apart };
         Self {
-            blind_until: blind,
-            held,
+            blind_until,
+            held_until,
             inherited: touched.ages().map(|(host, _)| host.clone()).collect(),
             last_stamp: None,
             stamp_until: now + apart,
@@ -77,7 +77,7 @@
 
     /// Whether a predecessor may have given an order about a host too recently.
     pub(super) fn is_held(&self, now: Now, host: &HostId) -> bool {
-        self.held.get(host).is_some_and(|until| now < *until)
+        self.held_until.get(host).is_some_and(|until| now < *until)
     }
 }
 
@@ -105,19 +105,18 @@
             }
         }
         let HostIntents {
-            last_stamp: stamped,
-            stamp_until: concerned,
+            last_stamp,
+            stamp_until,
             ..
         } = &mut self.touching;
         if !hosts.is_empty() {
-            *concerned = now + self.settings.holder + MAX_ORDER_DELAY + STAMP_INTERVAL;
+            *stamp_until = now + self.settings.holder + MAX_ORDER_DELAY + STAMP_INTERVAL;
         }
-        let stale =
-            now < *concerned && stamped.is_none_or(|stamped| now >= stamped + STAMP_INTERVAL);
+        let stale = now < *stamp_until && last_stamp.is_none_or(|at| now >= at + STAMP_INTERVAL);
         if hosts.is_empty() && !stale {
             return None;
         }
-        *stamped = Some(now);
+        *last_stamp = Some(now);
         let at = now.saturating_sub(self.began).as_millis();
         Some(Touch {
             term: self.term,
--- a/src/core/workload/scheduler/leases.rs
+++ b/src/core/workload/scheduler/leases.rs
@@ -62,13 +62,13 @@
                 acked,
                 extends: until.is_some(),
             };
-            let what = OrderKind::Renew {
+            let kind = OrderKind::Renew {
                 to,
                 acked,
                 until,
                 wait,
             };
-            let order = self.order(now, about, what);
+            let order = self.order(now, about, kind);
             if let Some(agent) = self.agents.get_mut(&agent) {
                 agent.renewal = Some((order, now));
             }
@@ -158,11 +158,12 @@
         if self.renewal.is_some() || self.replaced {
             return None;
         }
-        let doubtful = settings.protections.looks && self.may_run_strays(strays);
-        let sought = self.unconfirmed && now < self.last_seen + settings.silence;
+        let strays = settings.protections.looks && self.may_run_strays(strays);
+        let unconfirmed = self.unconfirmed && now < self.last_seen + settings.silence;
         let unacked = self.record.acked != self.acked_end;
-        let wanted = !self.slots.is_empty() || unacked || doubtful || sought || self.owes_report();
-        wanted.then_some(self.renewal_due)
+        let needed =
+            !self.slots.is_empty() || unacked || strays || unconfirmed || self.owes_report();
+        needed.then_some(self.renewal_due)
     }
 }
 
--- a/src/core/workload/scheduler/losses.rs
+++ b/src/core/workload/scheduler/losses.rs
@@ -97,7 +97,7 @@
     fn units_beside(&self, job: JobId) -> BTreeSet<SuspectUnit> {
         let others = self.tasks.iter().filter(|(task, _)| task.step.job != job);
         others
-            .map(|(task, lasts)| SuspectUnit::of(*task, *lasts))
+            .map(|(task, long_running)| SuspectUnit::of(*task, *long_running))
             .collect()
     }
 
--- a/src/core/workload/scheduler/mod.rs
+++ b/src/core/workload/scheduler/mod.rs
@@ -526,16 +526,12 @@
         agents.filter(|agent| agent.failing_since.is_some()).count()
     }
 
-    fn order(&mut self, now: Now, about: About, what: OrderKind) -> OrderId {
+    fn order(&mut self, now: Now, about: About, kind: OrderKind) -> OrderId {
         self.last_order += 1;
         let id = self.last_order;
         self.pending.insert(id, Pending { sent: now, about });
         let term = self.term;
-        self.orders.push(Order {
-            id,
-            term,
-            kind: what,
-        });
+        self.orders.push(Order { id, term, kind });
         id
     }
 
--- a/src/core/workload/scheduler/presence.rs
+++ b/src/core/workload/scheduler/presence.rs
@@ -2,7 +2,7 @@
 //!
 //! A single list that lacks a host proves nothing. The list may be older than the host. And it is
 //! read page by page: a host that disappears meanwhile moves others across the border of two pages,
-//! where they are never read. So something counts as gone once [`LISTS`] whole lists in a row lack
+//! where they are never read. So something counts as gone once [`LISTS_TO_CONFIRM`] whole lists in a row lack
 //! it, all requested after the question came up.
 //!
 //! The work of an agent that counts as gone is started elsewhere, and a host that counts as gone is
--- a/src/core/workload/scheduler/probes.rs
+++ b/src/core/workload/scheduler/probes.rs
@@ -358,8 +358,8 @@
 
     /// Whether a unit will be alone on an agent once the batch tasks there have ended.
     fn will_be_alone(&self, agent: &Agent, unit: SuspectUnit) -> bool {
-        let mut lasting = agent.slots.iter().filter(|(_, slot)| slot.long_running);
-        lasting.all(|(task, slot)| self.is_harmless(*task, slot, unit))
+        let mut long_running = agent.slots.iter().filter(|(_, slot)| slot.long_running);
+        long_running.all(|(task, slot)| self.is_harmless(*task, slot, unit))
     }
 
     /// A probe of a pool that no unit uses now.
@@ -413,15 +413,15 @@
             (!full || agent.slots.is_empty()) && self.could_host(now, agent, request, unit)
         });
         let rank = |agent: &&Agent| {
-            let lasts = agent.slots.values().any(|slot| slot.long_running);
+            let long_running = agent.slots.values().any(|slot| slot.long_running);
             let tasks = agent.slots.keys();
-            let doubtful = tasks.filter(|task| self.suspects.is_task_suspected(**task));
-            let doubtful = doubtful.count();
+            let suspected = tasks.filter(|task| self.suspects.is_task_suspected(**task));
+            let suspected = suspected.count();
             let tainted = self.taint(now, agent);
-            let empties = agent.empty_at().filter(|_| !lasts);
+            let empties = agent.empty_at().filter(|_| !long_running);
             (
-                lasts,
-                doubtful,
+                long_running,
+                suspected,
                 tainted,
                 empties,
                 agent.slots.len(),
--- a/src/core/workload/scheduler/suspects.rs
+++ b/src/core/workload/scheduler/suspects.rs
@@ -90,8 +90,8 @@
     }
 
     /// The unit of a task, if it is suspected and so has to run apart from other tasks.
-    pub(super) fn suspect_unit(&self, task: TaskId, lasting: bool) -> Option<SuspectUnit> {
-        let unit = SuspectUnit::of(task, lasting);
+    pub(super) fn suspect_unit(&self, task: TaskId, long_running: bool) -> Option<SuspectUnit> {
+        let unit = SuspectUnit::of(task, long_running);
         self.is_unit_suspected(unit).then_some(unit)
     }
 
@@ -152,11 +152,11 @@
 
     /// Takes in the evidence that the log holds against a task of a job.
     pub(super) fn record_evidence(&mut self, job: &Job, task: TaskId, evidence: Evidence) {
-        let lasting = !job.is_short(task);
+        let long_running = !job.is_short(task);
         let Evidence {
             hosts, weight, own, ..
         } = evidence;
-        let conclusive = if lasting {
+        let conclusive = if long_running {
             evidence.is_conclusive_among(self.agents.long_running())
         } else {
             evidence.is_conclusive(false)
@@ -167,7 +167,7 @@
             task,
             TaskEvidence {
                 evidence,
-                long_running: lasting,
+                long_running,
             },
         );
         if conclusive && self.suspects.failing.insert(task.step.job) {
@@ -181,8 +181,8 @@
 
     /// Clears the long-running tasks that have run for long enough, and returns them.
     pub(super) fn clear_suspects(&mut self, now: Now, ledger: &Ledger) -> Vec<TaskId> {
-        let lasting = self.suspects.all().filter(|(_, entry)| entry.long_running);
-        let cleared = lasting.filter(|(task, entry)| {
+        let long_running = self.suspects.all().filter(|(_, entry)| entry.long_running);
+        let cleared = long_running.filter(|(task, entry)| {
             let clearance = (entry.evidence.longest * CLEARANCE_FACTOR).min(MAX_SUSPICION);
             let slot = self.placed_slot(ledger, *task);
             slot.is_some_and(|slot| {
--- a/src/core/workload/scheduler/unit.rs
+++ b/src/core/workload/scheduler/unit.rs
@@ -16,8 +16,8 @@
 }
 
 impl SuspectUnit {
-    pub(super) fn of(task: TaskId, lasting: bool) -> Self {
-        if lasting {
+    pub(super) fn of(task: TaskId, long_running: bool) -> Self {
+        if long_running {
             Self::Task(task)
         } else {
             Self::Job(task.step.job)
