--- a/src/core/workload/scheduler/answers.rs
+++ b/src/core/workload/scheduler/answers.rs
@@ -1,20 +1,20 @@
-//! What the answers to orders mean.
+//! What the scheduler concludes from the answers to its orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
     About, Answer, EndBatch, IDLE_POLL_DELAY, MAX_START_TRIES, MinionId, Now, ORDER_RETRY_DELAY,
-    OrderId, Pending, Phase, Placement, RENEWAL_GAP, RENEWAL_RETRY_DELAY, Refusal, Report,
-    ReportedEnd, Scheduler, Settings, Slot, TaskId, UNWELL_PAUSE, What,
+    OrderId, OrderKind, Pending, Phase, Placement, RENEWAL_GAP, RENEWAL_RETRY_DELAY, Refusal,
+    Report, ReportedEnd, Scheduler, Settings, Slot, TaskId, UNWELL_PAUSE,
 };
-use super::{agent::LAGGING, throttle::UNKNOWN_SHARE};
+use super::{agent::OVERDUE_EXCLUSION, throttle::UNKNOWN_SHARE};
 use crate::core::workload::command::Ending;
 
-/// What a lasting task says that is at work, in hundredths.
-const WHOLE: u32 = 100;
+/// The progress that a long-running task reports when it does all its work, in percent.
+const FULL_PERCENT: u32 = 100;
 
 /// A start that was sent.
-struct Sent<'a> {
+struct SentStart<'a> {
     order: OrderId,
     agent: &'a MinionId,
     task: TaskId,
@@ -22,16 +22,16 @@
 }
 
 /// A renewal that was sent.
-struct Renewal {
+struct SentRenewal {
     sent: Now,
-    /// Through which of its ends the agent was told that they are known.
+    /// The number of the last end that the renewal acknowledged.
     acked: u64,
-    /// Whether it extended the lease.
+    /// Whether the renewal extended the lease.
     extends: bool,
 }
 
 impl Scheduler {
-    /// An order was answered.
+    /// Takes in the answer to an order.
     pub fn answered(&mut self, now: Now, order: OrderId, answer: Answer) {
         let Some(Pending { sent, about }) = self.pending.remove(&order) else {
             return;
@@ -46,35 +46,35 @@
         }
         match about {
             About::Start(agent, task) => {
-                let start = Sent {
+                let start = SentStart {
                     order,
                     agent: &agent,
                     task,
                     sent,
                 };
-                self.started(now, &start, &answer);
+                self.start_answered(now, &start, &answer);
             }
-            About::Stop(agent, task) => self.stopped(now, order, &agent, task, &answer),
+            About::Stop(agent, task) => self.stop_answered(now, order, &agent, task, &answer),
             About::Throttle(agent, task) => {
-                // What got no answer is sent again with the next report.
+                // An unanswered throttle is sent again with the next report.
                 if !matches!(answer, Answer::Done { .. })
                     && let Some(slot) = self.slot(&agent, task)
                 {
                     slot.share = UNKNOWN_SHARE;
                 }
             }
-            About::StopUnplaced(agent) => self.swept(now, &agent, &answer),
+            About::StopUnplaced(agent) => self.stop_unplaced_answered(now, &agent, &answer),
             About::Renew {
                 agent,
                 acked,
                 extends,
             } => {
-                let about = Renewal {
+                let about = SentRenewal {
                     sent,
                     acked,
                     extends,
                 };
-                self.renewed(now, &about, &agent, answer);
+                self.renewal_answered(now, &about, &agent, answer);
             }
             About::Hosts => {
                 self.take_host_list(now, sent, answer);
@@ -84,27 +84,27 @@
         }
     }
 
-    fn started(&mut self, now: Now, start: &Sent<'_>, answer: &Answer) {
-        let Sent {
+    fn start_answered(&mut self, now: Now, start: &SentStart<'_>, answer: &Answer) {
+        let SentStart {
             order,
             agent: id,
             task,
             sent,
         } = *start;
-        if !self.is_there(now, id, answer) {
+        if !self.check_presence(now, id, answer) {
             return;
         }
         if matches!(answer, Answer::Silent) {
-            self.note_stray(id, sent);
+            self.record_stray(id, sent);
         }
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         if matches!(answer, Answer::Silent) {
             log::info!(agent:% = id, task:%, order; "a start got no answer");
-            // The next renewal tells whether the agent answers at all.
-            agent.next = now;
-            agent.silent.get_or_insert(now);
+            // The next renewal shows whether the agent answers at all.
+            agent.renewal_due = now;
+            agent.silent_since.get_or_insert(now);
         }
         if let Answer::Refused {
             why: Refusal::Grant,
@@ -118,7 +118,7 @@
             ..
         } = answer
         {
-            agent.aside = agent.aside.max(now + UNWELL_PAUSE);
+            agent.excluded_until = agent.excluded_until.max(now + UNWELL_PAUSE);
         }
         let Some(slot) = agent.slots.get_mut(&task) else {
             return;
@@ -128,35 +128,35 @@
                 slot.unanswered = Some(sent);
             }
             if slot.tries == 1 {
-                self.not_started.extend(slot.unbegun(task, id));
+                self.not_started.extend(slot.not_started(task, id));
             }
         }
-        // It may have been told to stop meanwhile.
+        // The attempt may have been stopped meanwhile.
         if slot.phase != Phase::Starting(order) {
             return;
         }
         match answer {
             Answer::Done { .. } => {
-                slot.begun = true;
-                slot.enter(now, Phase::Running);
+                slot.started = true;
+                slot.set_phase(now, Phase::Running);
             }
-            Answer::Silent if slot.tries < MAX_START_TRIES => slot.enter(now, Phase::Due),
+            Answer::Silent if slot.tries < MAX_START_TRIES => slot.set_phase(now, Phase::Due),
             Answer::Refused {
                 why: Refusal::Late, ..
             } if slot.tries < MAX_START_TRIES => {
-                log::info!(agent:% = id, task:%, order; "a start came to its agent too late");
-                slot.enter(now, Phase::Due);
+                log::info!(agent:% = id, task:%, order; "a start reached its agent too late");
+                slot.set_phase(now, Phase::Due);
             }
             Answer::Refused {
                 why: Refusal::Old, ..
             } => {
-                slot.enter(now, Phase::Unsure);
-                agent.next = now;
+                slot.set_phase(now, Phase::Unsure);
+                agent.renewal_due = now;
             }
             Answer::Refused { .. } if slot.unanswered.is_none() => {
-                slot.enter(now, Phase::Ended);
+                slot.set_phase(now, Phase::Ended);
                 let attempt = slot.attempt;
-                log::info!(agent:% = id, task:%, attempt, answer:?; "an attempt is given up, as its start was refused");
+                log::info!(agent:% = id, task:%, attempt, answer:?; "an attempt is abandoned, as its start was refused");
                 self.abandoned.push(Placement {
                     task,
                     attempt,
@@ -164,15 +164,22 @@
                 });
             }
             _ => {
-                // An earlier start of it may still be carried out.
+                // An earlier start of the attempt may still be carried out.
                 slot.tries = 0;
-                slot.enter(now, Phase::Stopping(None));
+                slot.set_phase(now, Phase::Stopping(None));
             }
         }
     }
 
-    fn stopped(&mut self, now: Now, order: OrderId, id: &MinionId, task: TaskId, answer: &Answer) {
-        if !self.is_there(now, id, answer) {
+    fn stop_answered(
+        &mut self,
+        now: Now,
+        order: OrderId,
+        id: &MinionId,
+        task: TaskId,
+        answer: &Answer,
+    ) {
+        if !self.check_presence(now, id, answer) {
             return;
         }
         let Some(agent) = self.agents.get_mut(id) else {
@@ -186,27 +193,28 @@
         }
         match answer {
             Answer::Done { .. } => {
-                // It can't be started by anything that is still under way.
+                // From now on the agent refuses a start that is still under way.
                 slot.unanswered = None;
-                slot.enter(now, Phase::Stopped);
-                agent.next = agent.next.min(now + RENEWAL_GAP);
+                slot.set_phase(now, Phase::Stopped);
+                agent.renewal_due = agent.renewal_due.min(now + RENEWAL_GAP);
             }
-            _ => slot.enter(now, Phase::Stopping(None)),
+            _ => slot.set_phase(now, Phase::Stopping(None)),
         }
     }
 
-    /// A stop of what isn't placed was answered; if it wasn't, the next look repeats it.
-    fn swept(&mut self, now: Now, id: &MinionId, answer: &Answer) {
-        if self.is_there(now, id, answer)
+    /// A stop of an attempt that isn't placed there was answered. If it failed, the next poll
+    /// repeats it.
+    fn stop_unplaced_answered(&mut self, now: Now, id: &MinionId, answer: &Answer) {
+        if self.check_presence(now, id, answer)
             && !matches!(answer, Answer::Done { .. })
             && let Some(agent) = self.agents.get_mut(id)
         {
-            agent.next = agent.next.min(now + ORDER_RETRY_DELAY);
+            agent.renewal_due = agent.renewal_due.min(now + ORDER_RETRY_DELAY);
         }
     }
 
-    fn renewed(&mut self, now: Now, renewal: &Renewal, id: &MinionId, answer: Answer) {
-        let Renewal {
+    fn renewal_answered(&mut self, now: Now, renewal: &SentRenewal, id: &MinionId, answer: Answer) {
+        let SentRenewal {
             sent,
             acked,
             extends,
@@ -214,23 +222,24 @@
         let Some(agent) = self.agents.get(id) else {
             return;
         };
-        let next = now + self.gap(&agent.record.pool);
+        let next = now + self.renewal_pause(&agent.record.pool);
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         agent.renewal = None;
         match answer {
-            // It was answered before the next incarnation lived; what is asked now goes there.
-            Answer::Report(report) if agent.replaced => self.take_ends(now, id, &report),
+            // This report is from before the next incarnation started. Later renewals reach the
+            // next incarnation.
+            Answer::Report(report) if agent.replaced => self.record_ends(now, id, &report),
             Answer::Report(report) => {
-                agent.hear(now);
-                agent.trouble = None;
-                agent.told = agent.told.max(acked);
+                agent.mark_seen(now);
+                agent.failing_since = None;
+                agent.acked_end = agent.acked_end.max(acked);
                 if extends {
-                    agent.note_renewal(sent);
+                    agent.record_renewal(sent);
                 }
-                agent.tell_time(now, report.clock);
-                agent.next = next;
+                agent.record_clock(now, report.clock);
+                agent.renewal_due = next;
                 self.replace_former(now, sent, id);
                 self.take_report(now, sent, id, &report);
                 self.adjust_throttle(now, id, &report);
@@ -238,18 +247,18 @@
             Answer::Elsewhere => {
                 self.terminated.insert(id.clone());
             }
-            Answer::Reborn => self.mark_replaced(now, id, None),
+            Answer::Restarted => self.mark_replaced(now, id, None),
             _ => {
-                if agent.trouble.is_none() {
+                if agent.failing_since.is_none() {
                     log::info!(agent:% = id; "an agent doesn't answer");
                     let slots = agent.slots.iter();
-                    let unbegun = slots.filter_map(|(task, slot)| slot.unbegun(*task, id));
-                    self.not_started.extend(unbegun);
+                    let not_started = slots.filter_map(|(task, slot)| slot.not_started(*task, id));
+                    self.not_started.extend(not_started);
                 }
-                agent.trouble.get_or_insert(sent);
-                agent.silent.get_or_insert(now);
-                let rests = agent.slots.is_empty() && !agent.owes_list();
-                agent.next = now
+                agent.failing_since.get_or_insert(sent);
+                agent.silent_since.get_or_insert(now);
+                let rests = agent.slots.is_empty() && !agent.owes_report();
+                agent.renewal_due = now
                     + if rests {
                         IDLE_POLL_DELAY
                     } else {
@@ -260,7 +269,7 @@
     }
 
     fn take_report(&mut self, now: Now, sent: Now, id: &MinionId, report: &Report) {
-        self.take_ends(now, id, report);
+        self.record_ends(now, id, report);
         let Settings {
             max_stop: stop,
             protections,
@@ -269,7 +278,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        let fenced = *agent.fenced.get_or_insert(report.clock);
+        let fenced = *agent.fenced_at.get_or_insert(report.clock);
         let settled = report.clock >= fenced + stop || !protections.inherited_stops;
         let ended: BTreeSet<_> = report.ended.iter().map(|e| (e.task, e.attempt)).collect();
         let running = report.running.iter();
@@ -277,22 +286,23 @@
         for (task, slot) in &mut agent.slots {
             let key = (*task, slot.attempt);
             let seen = running.get(&key);
-            // A list doesn't say what is being stopped, so what may be is away until it can't be.
+            // A report doesn't say which attempts are being stopped. So an attempt that an earlier
+            // leader may have stopped counts as away until its stop must have ended.
             slot.inherited &= !settled;
-            slot.at_work = !slot.inherited && seen.is_some_and(|r| r.percent >= WHOLE);
+            slot.fully_running = !slot.inherited && seen.is_some_and(|r| r.percent >= FULL_PERCENT);
             let here = seen.is_some();
-            slot.seen |= here;
-            slot.begun |= here;
+            slot.reported |= here;
+            slot.started |= here;
             if here && slot.phase == Phase::Unsure {
                 slot.unanswered = None;
-                slot.enter(now, Phase::Running);
+                slot.set_phase(now, Phase::Running);
             }
-            // What this look was sent before says nothing of what came after.
+            // A report doesn't tell what happened after its renewal was sent.
             let settled = matches!(slot.phase, Phase::Unsure | Phase::Stopped | Phase::Running)
-                && slot.since <= sent;
+                && slot.phase_since <= sent;
             if settled && !here && !ended.contains(&key) {
-                log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "an attempt is given up, as its agent doesn't list it");
-                slot.enter(now, Phase::Ended);
+                log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "an attempt is abandoned, as its agent doesn't list it");
+                slot.set_phase(now, Phase::Ended);
                 self.abandoned.push(Placement {
                     task: *task,
                     attempt: slot.attempt,
@@ -303,17 +313,17 @@
         let learned = self.learned.get(&agent.record.pool);
         let overdue = agent.slots.iter().filter(|(_, slot)| {
             let limit = learned.and_then(|learned| learned.limit(slot.estimate));
-            limit.is_some_and(|limit| slot.has_run(now, limit))
+            limit.is_some_and(|limit| slot.has_run_for(now, limit))
         });
         let overdue: Vec<_> = overdue.map(|(task, _)| *task).collect();
         if !overdue.is_empty() {
-            agent.aside = agent.aside.max(now + LAGGING);
+            agent.excluded_until = agent.excluded_until.max(now + OVERDUE_EXCLUSION);
         }
         for task in overdue {
-            log::info!(agent:% = id, task:%; "a task is overdue and is tried elsewhere");
+            log::info!(agent:% = id, task:%; "a task is overdue and is retried elsewhere");
             if let Some(slot) = agent.slots.get_mut(&task) {
                 slot.tries = 0;
-                slot.enter(now, Phase::Stopping(None));
+                slot.set_phase(now, Phase::Stopping(None));
             }
         }
         let known = |task: &TaskId, attempt: u32| {
@@ -323,69 +333,69 @@
         let strays = report.running.iter();
         let strays = strays.filter(|r| !known(&r.task, r.attempt));
         let strays: Vec<_> = strays.map(|r| (r.task, r.attempt)).collect();
-        agent.looked = strays.is_empty().then_some(sent);
-        agent.listed = agent.listed.max(Some(sent));
+        agent.clean_report = strays.is_empty().then_some(sent);
+        agent.last_report = agent.last_report.max(Some(sent));
         let to = agent.target();
-        // A start that is sent meanwhile brings the next look forward.
-        if agent.slots.is_empty() && !agent.owes_list() {
-            agent.next = agent.next.max(now + IDLE_POLL_DELAY);
+        // A start that is sent meanwhile makes the next renewal due earlier.
+        if agent.slots.is_empty() && !agent.owes_report() {
+            agent.renewal_due = agent.renewal_due.max(now + IDLE_POLL_DELAY);
         }
         self.stop_late_attempts(now, sent, id, &strays);
         for (task, attempt) in strays {
-            log::warn!(agent:% = id, task:%, attempt; "an attempt runs that was given up; it is stopped");
+            log::warn!(agent:% = id, task:%, attempt; "an abandoned attempt still runs; it is being stopped");
             let to = to.clone();
             self.send_order(
                 now,
                 About::StopUnplaced(id.clone()),
-                What::Stop { to, task, attempt },
+                OrderKind::Stop { to, task, attempt },
             );
         }
     }
 
     /// Takes in the ends that weren't proposed yet.
-    fn take_ends(&mut self, now: Now, id: &MinionId, report: &Report) {
+    fn record_ends(&mut self, now: Now, id: &MinionId, report: &Report) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         for ended in &report.ended {
-            if ended.number <= agent.proposed {
+            if ended.number <= agent.proposed_end {
                 let slot = agent.slots.get(&ended.task);
                 if slot.is_some_and(|s| s.attempt == ended.attempt && s.phase != Phase::Ended) {
-                    log::warn!(agent:% = id, task:% = ended.task, attempt = ended.attempt, number = ended.number, through = agent.proposed; "an end that isn't known has a number that is");
+                    log::warn!(agent:% = id, task:% = ended.task, attempt = ended.attempt, number = ended.number, through = agent.proposed_end; "an agent reports an unknown end under a known number");
                 }
                 continue;
             }
-            agent.proposed = ended.number;
+            agent.proposed_end = ended.number;
             let same = |slot: &&mut Slot| slot.attempt == ended.attempt;
             let mut took = None;
             let slot = agent.slots.get_mut(&ended.task).filter(same);
             if slot.is_none() {
-                log::info!(agent:% = id, task:% = ended.task, attempt = ended.attempt, number = ended.number, how:? = ended.how; "an end is listed of what isn't placed there");
+                log::info!(agent:% = id, task:% = ended.task, attempt = ended.attempt, number = ended.number, how:? = ended.how; "an agent reports the end of an attempt that isn't placed there");
             }
             if let Some(slot) = slot {
                 let ran = slot.phase == Phase::Running && ended.how == Ending::Done;
                 took = ran.then(|| slot.clone());
-                slot.enter(now, Phase::Ended);
+                slot.set_phase(now, Phase::Ended);
             }
             if let Some(slot) = took {
                 let Slot { estimate, .. } = slot;
-                let took = now.saturating_sub(slot.since);
+                let took = now.saturating_sub(slot.phase_since);
                 let learned = self.learned.entry(agent.record.pool.clone()).or_default();
                 learned.note(took, estimate);
-                if slot.plain {
-                    learned.note_lag(now.saturating_sub(slot.placed), estimate);
+                if slot.plain_estimate {
+                    learned.note_lag(now.saturating_sub(slot.placed_at), estimate);
                 }
                 if let Some(ratio) = learned.ratio(took, estimate) {
-                    agent.note_pace(now, ratio);
+                    agent.record_pace(now, ratio);
                 }
             }
             if ended.how != Ending::Done {
                 log::info!(agent:% = id, task:% = ended.task, attempt = ended.attempt, how:? = ended.how; "an attempt ended");
             }
             match ended.how {
-                Ending::Done => agent.succeeded(),
-                Ending::Failed if agent.failed(now, ended.task.step.job) => {
-                    log::info!(agent:% = id; "an agent is set aside, since several jobs failed there");
+                Ending::Done => agent.task_succeeded(),
+                Ending::Failed if agent.task_failed(now, ended.task.step.job) => {
+                    log::info!(agent:% = id; "an agent is excluded, as several jobs failed there");
                 }
                 _ => {}
             }
@@ -404,9 +414,9 @@
         }
     }
 
-    /// Learns the agent's clock from an answer; whether the agent is still there.
-    fn is_there(&mut self, now: Now, id: &MinionId, answer: &Answer) -> bool {
-        self.note_clock(now, id, answer);
+    /// Learns the agent's clock from an answer. Returns whether the agent is still there.
+    fn check_presence(&mut self, now: Now, id: &MinionId, answer: &Answer) -> bool {
+        self.learn_clock(now, id, answer);
         if matches!(answer, Answer::Elsewhere) {
             self.terminated.insert(id.clone());
             return false;
@@ -414,8 +424,9 @@
         true
     }
 
-    fn note_clock(&mut self, now: Now, id: &MinionId, answer: &Answer) {
-        // What answers in its place says nothing of it.
+    fn learn_clock(&mut self, now: Now, id: &MinionId, answer: &Answer) {
+        // The answers come from the incarnation that replaced the agent, so they tell nothing about
+        // the agent.
         let agent = self.agents.get_mut(id);
         let Some(agent) = agent.filter(|agent| !agent.replaced) else {
             return;
@@ -426,8 +437,8 @@
             _ => None,
         };
         if let Some(clock) = clock {
-            agent.hear(now);
-            agent.tell_time(now, clock);
+            agent.mark_seen(now);
+            agent.record_clock(now, clock);
         }
     }
 }
--- a/src/core/workload/scheduler/balance.rs
+++ b/src/core/workload/scheduler/balance.rs
@@ -142,7 +142,7 @@
         let agent = self.agent_at(view);
         let there = !matches!(view.state, HostState::Down | HostState::Unknown);
         // An agent that isn't known yet belongs to a host that has just come.
-        there && agent.is_none_or(Agent::is_well)
+        there && agent.is_none_or(Agent::is_healthy)
     }
 
     /// The empty hosts of each pool. They are found once for all moves of one balancing pass, as
@@ -179,8 +179,8 @@
             }
             let agent = self.agent_at(view)?;
             let kept = self.probes.contains(&agent.record.id);
-            let free = agent.slots.is_empty() && agent.is_well() && !kept;
-            free.then_some((host, view, agent.idle))
+            let free = agent.slots.is_empty() && agent.is_healthy() && !kept;
+            free.then_some((host, view, agent.idle_since))
         })
     }
 
--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -46,11 +46,11 @@
             };
             let attempt = placed.attempt;
             let mut slot = Slot::new(spec, attempt, Phase::Unsure, now);
-            slot.began = placed.started_at;
+            slot.started_at = placed.started_at;
             // The last order of the earlier leader may still be in transit.
             slot.unanswered = Some(now);
             slot.inherited = true;
-            slot.begun = !placed.not_started;
+            slot.started = !placed.not_started;
             slot.share = UNKNOWN_SHARE;
             if self.settings.protections.inherit {
                 agent.add(task, slot);
@@ -66,9 +66,9 @@
             agent.share = INHERITED_SHARE;
         }
         if !agent.slots.is_empty() {
-            agent.lease = inherited_lease(now, &self.settings);
+            agent.lease_end = inherited_lease(now, &self.settings);
         }
-        agent.unseen = shared;
+        agent.unconfirmed = shared;
         self.agents.insert(id.clone(), agent);
     }
 
@@ -102,7 +102,7 @@
             } => self.remove_attempt(now, ledger, placed, *again),
             Change::Suspected(task, evidence) => {
                 if let Some(job) = ledger.job(task.step.job) {
-                    self.suspect(job, *task, *evidence);
+                    self.record_evidence(job, *task, *evidence);
                 }
             }
             Change::Acked { agent, through } => {
@@ -121,7 +121,7 @@
                 }
             }
             Change::Terminated(id) => {
-                self.losses.commit(id);
+                self.losses.mark_committed(id);
                 self.agents.remove(id);
                 self.ends.remove(id);
             }
@@ -141,7 +141,7 @@
             }
             None => {
                 let mut agent = Agent::new(record.clone(), now);
-                agent.unseen = true;
+                agent.unconfirmed = true;
                 // Its host may have been listed, and chosen for an operation, before the agent's
                 // first heartbeat.
                 for duty in self.hosts.operations.values_mut() {
@@ -168,13 +168,13 @@
         let Some(seen) = self.agents.get_mut(id) else {
             return;
         };
-        if !std::mem::take(&mut seen.unseen) {
+        if !std::mem::take(&mut seen.unconfirmed) {
             return;
         }
         let (address, name) = (seen.record.address, seen.record.name().clone());
         let former = self.agents.iter().filter(|(other, agent)| {
             let there = agent.record.address == address || *agent.record.name() == name;
-            *other != id && there && agent.known <= sent
+            *other != id && there && agent.known_since <= sent
         });
         let former: Vec<_> = former.map(|(other, _)| other.clone()).collect();
         let (same, others): (Vec<_>, Vec<_>) = former.into_iter().partition(|other| {
@@ -200,7 +200,7 @@
         if let Some(agent) = self.agents.get_mut(id)
             && agent.record.id != *agent.record.name()
         {
-            agent.lease = agent.lease.max(inherited_lease(now, &self.settings));
+            agent.lease_end = agent.lease_end.max(inherited_lease(now, &self.settings));
         }
     }
 
@@ -220,14 +220,14 @@
             return;
         }
         // Failures of the earlier incarnation to answer say nothing about the one that runs now.
-        agent.trouble = Some(now);
-        agent.silent.get_or_insert(now);
+        agent.failing_since = Some(now);
+        agent.silent_since.get_or_insert(now);
         agent.extend_lease(now, &self.settings);
         let unsettled = agent.slots.values_mut().filter(|slot| slot.is_unsettled());
         let mut count = 0;
         for slot in unsettled {
             slot.tries = 0;
-            slot.enter(now, Phase::Stopping(None));
+            slot.set_phase(now, Phase::Stopping(None));
             count += 1;
         }
         let by = by.map_or("", |id| &**id);
@@ -265,7 +265,9 @@
         for slot in agent.slots.values() {
             match slot.phase {
                 Phase::Stopping(_) => return ReplacedOutcome::Unsettled,
-                Phase::Stopped => since = since.max(Some(slot.since + self.settings.max_stop)),
+                Phase::Stopped => {
+                    since = since.max(Some(slot.phase_since + self.settings.max_stop))
+                }
                 _ => {}
             }
         }
@@ -273,10 +275,10 @@
         let Some(since) = since else {
             return ReplacedOutcome::Settled;
         };
-        let successor = self.agents.named(agent.record.name());
-        let successor = successor.filter(|next| !next.replaced && !next.unseen);
+        let successor = self.agents.current(agent.record.name());
+        let successor = successor.filter(|next| !next.replaced && !next.unconfirmed);
         match successor {
-            Some(next) if now >= since && next.has_told(since) => ReplacedOutcome::Settled,
+            Some(next) if now >= since && next.has_reported(since) => ReplacedOutcome::Settled,
             Some(next) if now >= since => ReplacedOutcome::NeedsReport {
                 successor: next.record.id.clone(),
                 since,
@@ -288,12 +290,12 @@
     /// Asks an agent for a report, unless it has already been asked for one since then.
     fn request_report(&mut self, now: Now, id: &MinionId, since: Now) {
         let known = self.agents.get(id);
-        if known.is_none_or(|agent| agent.awaited >= Some(since)) {
+        if known.is_none_or(|agent| agent.report_needed >= Some(since)) {
             return;
         }
         if let Some(agent) = self.agents.get_mut(id) {
-            agent.awaited = Some(since);
-            agent.next = agent.next.min(now);
+            agent.report_needed = Some(since);
+            agent.renewal_due = agent.renewal_due.min(now);
         }
     }
 
@@ -306,7 +308,7 @@
         for slot in agent.slots.values_mut() {
             if matches!(slot.phase, Phase::Stopping(_) | Phase::Stopped) {
                 slot.tries = 0;
-                slot.enter(now, Phase::Stopping(None));
+                slot.set_phase(now, Phase::Stopping(None));
             }
         }
     }
@@ -331,7 +333,7 @@
             running.iter().any(|(task, attempt)| {
                 let slot = agent.slots.get(task);
                 let slot = slot.filter(|slot| slot.attempt == *attempt);
-                slot.is_some_and(|s| s.phase == Phase::Stopped && sent >= s.since + stop)
+                slot.is_some_and(|s| s.phase == Phase::Stopped && sent >= s.phase_since + stop)
             })
         };
         let former = self.agents.incarnations(agent.record.name());
@@ -395,12 +397,12 @@
         let over = job.is_none_or(Job::has_ended);
         if let Some(slot) = self.slot(&start.agent, start.task) {
             if stands && !over {
-                slot.enter(now, Phase::Due);
+                slot.set_phase(now, Phase::Due);
                 return;
             }
             if stands {
                 // The job was cancelled in the meantime, and nothing was sent.
-                slot.enter(now, Phase::Ended);
+                slot.set_phase(now, Phase::Ended);
                 self.abandoned.push(start.clone());
                 return;
             }
@@ -425,7 +427,7 @@
         let unanswered = self.slots.values().filter_map(|slot| slot.unanswered).max();
         let astray = unanswered.map(|sent| sent + MAX_ORDER_TRANSIT + settings.lease);
         let lease = inherited_lease(now, settings);
-        self.lease = self.lease.max(lease).max(astray.unwrap_or(lease));
+        self.lease_end = self.lease_end.max(lease).max(astray.unwrap_or(lease));
     }
 }
 
--- a/src/core/workload/scheduler/eligible.rs
+++ b/src/core/workload/scheduler/eligible.rs
@@ -11,7 +11,9 @@
     time::Duration,
 };
 
-use super::{About, Agent, Answer, MinionId, Name, Now, PoolId, Scheduler, StepId, What, place};
+use super::{
+    About, Agent, Answer, MinionId, Name, Now, OrderKind, PoolId, Scheduler, StepId, place,
+};
 use crate::core::workload::{catalog::JobId, spec::StepSpec};
 
 /// Most agents in one question. The service takes time for each agent, and the objectives of jobs
@@ -131,7 +133,7 @@
             agents: agents.clone(),
             valid: cost.valid_for,
         });
-        let what = What::Ask {
+        let what = OrderKind::Ask {
             step,
             agents,
             within,
--- a/src/core/workload/scheduler/hosts.rs
+++ b/src/core/workload/scheduler/hosts.rs
@@ -12,8 +12,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use super::{
-    About, Agent, Answer, HostState, HostView, MinionId, Name, Now, OrderId, PoolId, Refusal,
-    Scheduler, Wall, What, balance::HostCounts, demand::Demand, forecast::Surges,
+    About, Agent, Answer, HostState, HostView, MinionId, Name, Now, OrderId, OrderKind, PoolId,
+    Refusal, Scheduler, Wall, balance::HostCounts, demand::Demand, forecast::Surges,
     presence::Presence,
 };
 use crate::core::{
@@ -76,7 +76,7 @@
             Some(view) if view.state == HostState::Unknown => false,
             // The list states explicitly what its host does now.
             Some(view) => view.agent.as_ref() != Some(name) || view.state != HostState::Up,
-            None => self.agents.is_gone(name, since),
+            None => self.agents.is_absent(name, since),
         }
     }
 }
@@ -161,10 +161,10 @@
         if self.hosts.list_pending || early {
             return;
         }
-        let doubted = self.agents.troubled().any(|agent| {
+        let doubted = self.agents.unresponsive().any(|agent| {
             !agent.slots.is_empty()
                 && agent
-                    .trouble
+                    .failing_since
                     .is_some_and(|since| now >= since + super::PROVIDER_QUERY_DELAY)
         });
         let busy = doubted
@@ -184,7 +184,7 @@
             self.hosts.asked_at = Some(now);
             self.hosts.list_pending = true;
             self.hosts.new_agent = false;
-            self.send_order(now, About::Hosts, What::Hosts);
+            self.send_order(now, About::Hosts, OrderKind::Hosts);
         }
     }
 
@@ -196,14 +196,17 @@
         };
         self.hosts.listed_at = Some(sent);
         let hosts = views.iter().map(|view| view.host.clone());
-        self.hosts.presence.note(sent, hosts);
+        self.hosts.presence.record(sent, hosts);
         let agents = views.iter().filter_map(|view| view.agent.clone());
-        self.hosts.agents.note(sent, agents);
+        self.hosts.agents.record(sent, agents);
         for view in &views {
-            let agent = view.agent.as_ref().and_then(|name| self.agents.named(name));
+            let agent = view
+                .agent
+                .as_ref()
+                .and_then(|name| self.agents.current(name));
             let id = agent.map(|agent| agent.record.id.clone());
             if let Some(agent) = id.and_then(|id| self.agents.get_mut(&id)) {
-                agent.home = Some(view.host.clone());
+                agent.host = Some(view.host.clone());
             }
         }
         self.hosts.views = by_host(views);
@@ -243,16 +246,16 @@
         for (id, agent) in self.agents.iter() {
             // A list from before the agent stopped answering says nothing about that. A list may
             // also be older than an agent that has yet to answer and has no placed attempts.
-            let new = agent.unseen && agent.slots.is_empty();
-            let Some(since) = agent.trouble.filter(|since| !new && sent >= *since) else {
+            let new = agent.unconfirmed && agent.slots.is_empty();
+            let Some(since) = agent.failing_since.filter(|since| !new && sent >= *since) else {
                 continue;
             };
             let name = agent.record.name();
-            if self.hosts.is_terminated(agent.home.as_ref(), name, since) {
+            if self.hosts.is_terminated(agent.host.as_ref(), name, since) {
                 log::info!(agent:% = id; "the provider's list shows that an agent has terminated");
                 self.terminated.insert(id.clone());
             } else {
-                self.hosts.agent_missing |= self.hosts.agents.is_lacked(name, since);
+                self.hosts.agent_missing |= self.hosts.agents.is_missing(name, since);
             }
         }
     }
@@ -273,7 +276,10 @@
             let is_over = match (views.get(host), duty.stage) {
                 (Some(view), Stage::Away) => {
                     // The host may be back with an agent of the same name, as another incarnation.
-                    let there = view.agent.as_ref().and_then(|name| self.agents.named(name));
+                    let there = view
+                        .agent
+                        .as_ref()
+                        .and_then(|name| self.agents.current(name));
                     let there = there.map(|agent| &agent.record.id);
                     let other = view.agent != duty.name
                         || view.agent.is_none()
@@ -281,13 +287,13 @@
                     let settled = listed >= duty.since + SETTLE_DELAY;
                     settled && view.state == HostState::Up && other
                 }
-                (None, Stage::Away) => presence.is_gone(host, duty.since + SETTLE_DELAY),
+                (None, Stage::Away) => presence.is_absent(host, duty.since + SETTLE_DELAY),
                 // The answer to the order shows its result.
                 (_, Stage::Ordered(_)) => false,
                 (Some(view), _) => listed >= duty.since && view.state == HostState::Down,
                 // For a host of a wave that isn't there, the refusal of its order shows that.
                 (None, _) => {
-                    matches!(duty.purpose, Purpose::Move(_)) && presence.is_gone(host, duty.since)
+                    matches!(duty.purpose, Purpose::Move(_)) && presence.is_absent(host, duty.since)
                 }
             };
             if is_over {
@@ -301,7 +307,7 @@
 
     /// The agent of a host, if it is known.
     pub(super) fn agent_at(&self, view: &HostView) -> Option<&Agent> {
-        self.agents.named(view.agent.as_ref()?)
+        self.agents.current(view.agent.as_ref()?)
     }
 
     /// Whether an order about a host was refused so recently that the next one would be, too.
@@ -317,13 +323,13 @@
         log::info!(host:%, what:? = duty.purpose, took:? = now.saturating_sub(duty.since); "an operation on a host has ended");
         if let Some(agent) = duty.agent.and_then(|id| self.agents.get_mut(&id)) {
             agent.cordoned = false;
-            agent.ending = false;
+            agent.evicting = false;
         }
     }
 
     pub(super) fn begin_operation(&mut self, now: Now, host: &HostId, what: Purpose) {
         let name = self.hosts.views.get(host).and_then(|v| v.agent.clone());
-        let agent = name.as_ref().and_then(|name| self.agents.named(name));
+        let agent = name.as_ref().and_then(|name| self.agents.current(name));
         let agent = agent.map(|agent| agent.record.id.clone());
         let known = agent.as_ref().and_then(|id| self.agents.get_mut(id));
         let empty = known.is_none_or(|agent| {
@@ -363,11 +369,11 @@
             let id = agent.map_or("", |agent| &*agent.record.id);
             log::info!(order = self.last_order + 1, host:%, agent = id, what:?, ends; "an order about a host is sent");
             let order = match what {
-                Purpose::Maintain(wave) => What::Maintain {
+                Purpose::Maintain(wave) => OrderKind::Maintain {
                     host: host.clone(),
                     wave,
                 },
-                Purpose::Move(pool) => What::Move {
+                Purpose::Move(pool) => OrderKind::Move {
                     host: host.clone(),
                     pool,
                 },
@@ -403,7 +409,7 @@
             Purpose::Move(_) => false,
         };
         match self.agents.get_mut(&id) {
-            Some(agent) if before && !agent.slots.is_empty() => agent.ending = true,
+            Some(agent) if before && !agent.slots.is_empty() => agent.evicting = true,
             _ => drop(self.terminated.insert(id)),
         }
     }
--- a/src/core/workload/scheduler/leases.rs
+++ b/src/core/workload/scheduler/leases.rs
@@ -1,22 +1,23 @@
-//! The leases of agents: renewed while they run something, and given up when they surely ran out.
+//! The leases of agents: renewed while attempts run there, and given up once they have certainly
+//! run out.
 //!
-//! A renewal is a look as well: its answer lists what runs at the agent.
+//! A renewal also polls the agent: its answer is a report of what runs there.
 
 use std::time::Duration;
 
 use super::{
-    About, Agent, BEST_EFFORT_WAIT, EXTENSION_LIMIT, MAX_ORDER_TRANSIT, MinionId, Now, Phase,
-    Placement, RENEWAL_WAIT, Scheduler, Settings, Slot, What,
+    About, Agent, BEST_EFFORT_WAIT, EXTENSION_LIMIT, MAX_ORDER_TRANSIT, MinionId, Now, OrderKind,
+    Phase, Placement, RENEWAL_WAIT, Scheduler, Settings, Slot,
 };
 
-/// From one look at an agent for which something is due that can't be done to the next: as often as
-/// a leader that has nothing else to do looks at its timers.
-const BLOCKED: Duration = Duration::from_millis(20);
+/// The interval between two visits of an agent for which something is due that can't be done: as
+/// often as an otherwise idle leader checks its timers.
+const BLOCKED_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Scheduler {
-    /// Renews the leases of agents that run something, acknowledges ends to the others, and looks
-    /// at those where something may run that isn't placed there, and at those that have still to
-    /// answer at their addresses.
+    /// Renews the leases of agents that run something and acknowledges ends to the others. Also
+    /// polls the agents at which a stray attempt may run, and those that have still to answer at
+    /// their addresses.
     pub(super) fn renew(&mut self, now: Now, agents: &[MinionId]) {
         let lease = self.settings.lease;
         let mut due = Vec::new();
@@ -29,29 +30,29 @@
             if at.is_none_or(|at| now < at) {
                 continue;
             }
-            let acked = agent.acknowledges();
+            let acked = agent.next_ack();
             let idle = agent.slots.is_empty();
             let extend = !idle
                 && agent
-                    .trouble
+                    .failing_since
                     .is_none_or(|since| now.saturating_sub(since) < EXTENSION_LIMIT);
-            let until = extend.then(|| agent.grant(now, lease)).flatten();
+            let until = extend.then(|| agent.grant_lease(now, lease)).flatten();
             let quiet = agent.slots.values().all(|slot| {
                 matches!(
                     slot.phase,
                     Phase::Running | Phase::Ended | Phase::Starting(_)
                 )
             });
-            let wait = if idle || agent.trouble.is_some() || !quiet {
+            let wait = if idle || agent.failing_since.is_some() || !quiet {
                 Duration::ZERO
-            } else if agent.serves() && agent.has_best_effort() {
+            } else if agent.has_latency_sensitive() && agent.has_best_effort() {
                 BEST_EFFORT_WAIT
-            } else if agent.slots.values().all(|slot| slot.lasting) {
+            } else if agent.slots.values().all(|slot| slot.long_running) {
                 RENEWAL_WAIT.1
             } else {
                 RENEWAL_WAIT.0
             };
-            let settles = agent.settles(now, self.settings.max_stop);
+            let settles = agent.settle_time(now, self.settings.max_stop);
             let wait = settles.map_or(wait, |left| wait.min(left));
             due.push((id.clone(), agent.target(), acked, until, wait));
         }
@@ -61,31 +62,31 @@
                 acked,
                 extends: until.is_some(),
             };
-            let what = What::Renew {
+            let kind = OrderKind::Renew {
                 to,
                 acked,
                 until,
                 wait,
             };
-            let order = self.send_order(now, about, what);
+            let order = self.send_order(now, about, kind);
             if let Some(agent) = self.agents.get_mut(&agent) {
                 agent.renewal = Some((order, now));
             }
         }
     }
 
-    /// Frees what was at agents whose leases have surely run out.
+    /// Frees the attempts at agents whose leases have certainly run out.
     pub(super) fn expire_leases(&mut self, now: Now) {
-        for id in &self.agents.stirred_troubled() {
+        for id in &self.agents.dirty_unresponsive() {
             let Some(agent) = self.agents.get_mut(id) else {
                 continue;
             };
-            let lease = agent.lease;
+            let lease = agent.lease_end;
             for (task, slot) in &mut agent.slots {
-                let lapse = slot.lapse(lease, &self.settings);
+                let lapse = slot.expiry(lease, &self.settings);
                 if lapse.is_some_and(|lapse| now >= lapse) {
-                    log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "a task's lease has run out at a silent agent");
-                    slot.enter(now, Phase::Ended);
+                    log::info!(agent:% = id, task:%, attempt = slot.attempt, phase:? = slot.phase; "a task's lease has expired at an agent that doesn't answer");
+                    slot.set_phase(now, Phase::Ended);
                     self.abandoned.push(Placement {
                         task: *task,
                         attempt: slot.attempt,
@@ -96,23 +97,24 @@
         }
     }
 
-    /// Lets the agents rest that nothing is due for now.
-    pub(super) fn rest(&mut self, now: Now) {
+    /// Schedules the next visit of the agents that were visited in this turn.
+    pub(super) fn schedule_agents(&mut self, now: Now) {
         let Self {
             agents,
             settings,
             strays,
             ..
         } = self;
-        agents.settle(|id, agent| {
+        agents.schedule_visits(|id, agent| {
             let strays = strays.get(id).copied();
-            let due = agent.next_look(now, settings, strays)?;
-            // What is due and couldn't be done (its agent's clock isn't known, say) mustn't be looked
-            // at in each turn; what makes it possible stirs the agent.
+            let due = agent.next_visit(now, settings, strays)?;
+            // If what is due couldn't be done (because the agent's clock isn't known, say), the
+            // agent must not be visited in each turn. Whatever makes it possible marks the agent as
+            // dirty.
             if due > now {
                 return Some(due);
             }
-            let blocked = now + BLOCKED;
+            let blocked = now + BLOCKED_INTERVAL;
             let withdrawal = agent.next_withdrawal(now, settings);
             Some(withdrawal.map_or(blocked, |at| at.min(blocked)))
         });
@@ -120,13 +122,13 @@
 }
 
 impl Agent {
-    /// When something is due for it if nothing happens to it before.
-    fn next_look(&self, now: Now, settings: &Settings, strays: Option<Now>) -> Option<Now> {
+    /// When something is due for the agent if nothing happens to it before.
+    fn next_visit(&self, now: Now, settings: &Settings, strays: Option<Now>) -> Option<Now> {
         let renewal = self.next_renewal(now, settings, strays);
         let slots = self.slots.values().filter_map(|slot| {
-            let lapse = slot.lapse(self.lease, settings);
-            match (slot.phase, self.trouble) {
-                // Stops are sent, and leases run out, whether or not it answers.
+            let lapse = slot.expiry(self.lease_end, settings);
+            match (slot.phase, self.failing_since) {
+                // Stops are sent, and leases run out, whether or not the agent answers.
                 (Phase::Stopping(None), trouble) => {
                     let lapse = lapse.filter(|_| trouble.is_some());
                     Some(lapse.map_or(slot.next_try(), |lapse| lapse.min(slot.next_try())))
@@ -143,7 +145,7 @@
         renewal.into_iter().chain(slots).min()
     }
 
-    /// When the next of its starts that couldn't be sent is given up.
+    /// When the next of its starts that couldn't be sent has to be withdrawn.
     fn next_withdrawal(&self, now: Now, settings: &Settings) -> Option<Now> {
         let slots = self.slots.values();
         let due = slots.filter(|slot| slot.phase == Phase::Due);
@@ -151,23 +153,24 @@
         last.filter(|at| *at > now).min()
     }
 
-    /// When its next renewal or look is to be sent; `None` if there is no reason for one.
+    /// When its next renewal has to be sent; `None` if there is no reason for one.
     fn next_renewal(&self, now: Now, settings: &Settings, strays: Option<Now>) -> Option<Now> {
         if self.renewal.is_some() || self.replaced {
             return None;
         }
-        let doubtful = settings.protections.polls && self.is_doubtful(strays);
-        let sought = self.unseen && now < self.heard + settings.max_silence;
-        let unacked = self.record.acked != self.told;
-        let wanted = !self.slots.is_empty() || unacked || doubtful || sought || self.owes_list();
-        wanted.then_some(self.next)
+        let strays = settings.protections.polls && self.may_run_strays(strays);
+        let unconfirmed = self.unconfirmed && now < self.last_seen + settings.max_silence;
+        let unacked = self.record.acked != self.acked_end;
+        let needed =
+            !self.slots.is_empty() || unacked || strays || unconfirmed || self.owes_report();
+        needed.then_some(self.renewal_due)
     }
 }
 
 impl Slot {
-    /// When what runs there has surely ended if its agent doesn't answer, given when the agent's lease
-    /// has run out; `None` if it isn't there, or its end is known.
-    fn lapse(&self, lease: Now, settings: &Settings) -> Option<Now> {
+    /// When the attempt has certainly ended if its agent doesn't answer, given the end of the
+    /// agent's lease; `None` if the attempt isn't there yet, or its end is known.
+    fn expiry(&self, lease: Now, settings: &Settings) -> Option<Now> {
         if matches!(self.phase, Phase::Proposed | Phase::Ended) {
             return None;
         }
--- a/src/core/workload/scheduler/mod.rs
+++ b/src/core/workload/scheduler/mod.rs
@@ -57,6 +57,7 @@
 mod demand;
 mod eligible;
 mod forecast;
+mod host_intents;
 mod hosts;
 mod jobs;
 mod learned;
@@ -64,16 +65,15 @@
 mod losses;
 mod order;
 mod place;
+mod poison_queues;
 mod presence;
 mod pressure;
 mod probes;
 mod ready;
 mod starts;
-mod storm;
 mod strays;
 mod suspects;
 mod throttle;
-mod touching;
 mod unit;
 mod vacating;
 mod waves;
@@ -86,23 +86,23 @@
 };
 
 pub use self::order::{
-    AgentTime, Answer, Ended, HostState, HostView, Order, OrderId, Refusal, Report, Running,
-    StartOrder, Target, What,
+    AgentTime, Answer, Ended, HostState, HostView, Order, OrderId, OrderKind, Refusal, Report,
+    Running, StartOrder, Target,
 };
 use self::{
     agent::{Agent, Phase, Slot},
     agents::Agents,
     caps::Proposed,
     eligible::{Eligible, Question},
+    host_intents::HostIntents,
     hosts::Hosts,
     learned::TaskTimes,
     losses::Losses,
+    poison_queues::Completions,
     pressure::Pressure,
     probes::Probes,
     ready::{ReadyQueue, ReadyStep},
-    storm::Departures,
     suspects::Suspects,
-    touching::Touching,
 };
 use super::{
     catalog::{Catalog, JobId},
@@ -292,7 +292,7 @@
     /// The attempts that these rounds place, summed by workspace.
     proposed: Proposed,
     hosts: Hosts,
-    touching: Touching,
+    touching: HostIntents,
     eligible: Eligible,
     /// How long the tasks of each pool take.
     learned: BTreeMap<PoolId, TaskTimes>,
@@ -300,7 +300,7 @@
     suspects: Suspects,
     probes: Probes,
     losses: Losses,
-    departures: Departures,
+    departures: Completions,
     /// Hosts whose maintenance has begun, by wave, to be committed as such.
     maintained: Vec<(WaveId, HostId)>,
     orders: Vec<Order>,
@@ -371,14 +371,14 @@
             open_rounds: 0,
             proposed: Proposed::default(),
             hosts: Hosts::default(),
-            touching: Touching::new(now, settings.handover_delay, ledger.intents()),
+            touching: HostIntents::new(now, settings.handover_delay, ledger.intents()),
             eligible: Eligible::default(),
             learned: BTreeMap::new(),
             pressure: Pressure::default(),
             suspects: Suspects::default(),
             probes: Probes::default(),
             losses: Losses::new(now, ledger.failure_rate()),
-            departures: Departures::default(),
+            departures: Completions::default(),
             maintained: Vec::new(),
             orders: Vec::new(),
             agent_ages: Vec::new(),
@@ -404,7 +404,7 @@
             scheduler.accepted_at.insert(id, now.saturating_sub(age));
             scheduler.open_job(now, wall, id, job);
             for (task, evidence) in job.task_evidence(id) {
-                scheduler.suspect(job, task, evidence);
+                scheduler.record_evidence(job, task, evidence);
             }
         }
         scheduler.inherit_probes();
@@ -446,8 +446,8 @@
             older = record.sequence < agent.sequence;
             if !older {
                 agent.sequence = record.sequence;
-                agent.hear(now);
-                agent.tell_time(now, clock);
+                agent.mark_seen(now);
+                agent.record_clock(now, clock);
             }
         }
         let news = match ledger.agent(&record.id) {
@@ -476,7 +476,7 @@
                 self.proposed.remove(start.task);
                 self.confirm_start(now, ledger, start);
             }
-            self.touch_applied(now, round);
+            self.intent_applied(now, round);
         }
     }
 
@@ -485,12 +485,12 @@
         if self.superseded {
             return Plan::default();
         }
-        self.agents.stir_due(now);
+        self.agents.mark_due(now);
         self.open_due_occurrences(now, wall, ledger);
         self.retire_replaced(now);
         let mut gone = std::mem::take(&mut self.terminated);
         gone.retain(|agent| ledger.agent(agent).is_some());
-        let mut commands = self.bury(now, wall, &gone);
+        let mut commands = self.loss_commands(now, wall, &gone);
         for (wave, host) in std::mem::take(&mut self.maintained) {
             let hosts = vec![host];
             commands.push(Command::Maintained { wave, hosts });
@@ -506,24 +506,24 @@
                 commands.push(Command::Round(round));
             }
         }
-        let stirred = self.agents.stirred();
+        let stirred = self.agents.dirty();
         self.send_starts(now, ledger, &stirred);
         self.send_stops(now, &stirred);
         self.renew(now, &stirred);
-        self.rest(now);
+        self.schedule_agents(now);
         Plan {
             commands,
             orders: std::mem::take(&mut self.orders),
             agent_ages: std::mem::take(&mut self.agent_ages),
             start_delays: std::mem::take(&mut self.start_delays),
-            visits: self.agents.take_looks() + self.ready.take_visits(),
+            visits: self.agents.take_visits() + self.ready.take_visits(),
         }
     }
 
     /// Makes the next plan visit all agents instead of only those that have something due. The
     /// decisions are the same; tests compare the two.
     pub fn visit_all(&mut self) {
-        self.agents.stir_all();
+        self.agents.mark_all_dirty();
     }
 
     /// How many tasks wait to be started.
@@ -544,15 +544,15 @@
     /// How many agents don't answer.
     pub fn unresponsive(&self) -> usize {
         let agents = self.agents.values();
-        agents.filter(|agent| agent.trouble.is_some()).count()
+        agents.filter(|agent| agent.failing_since.is_some()).count()
     }
 
-    fn send_order(&mut self, now: Now, about: About, what: What) -> OrderId {
+    fn send_order(&mut self, now: Now, about: About, kind: OrderKind) -> OrderId {
         self.last_order += 1;
         let id = self.last_order;
         self.pending.insert(id, Pending { sent: now, about });
         let term = self.term;
-        self.orders.push(Order { id, term, what });
+        self.orders.push(Order { id, term, kind });
         id
     }
 
@@ -565,7 +565,7 @@
             Phase::Proposed | Phase::Ended | Phase::Stopping(_) | Phase::Stopped
         );
         if stoppable {
-            slot.enter(now, Phase::Stopping(None));
+            slot.set_phase(now, Phase::Stopping(None));
         }
     }
 
--- a/src/core/workload/scheduler/place.rs
+++ b/src/core/workload/scheduler/place.rs
@@ -45,7 +45,7 @@
 
 /// Whether an agent could run a task of a step once its batch tasks have finished.
 pub(super) fn could_run(agent: &Agent, spec: &StepSpec, step: StepId) -> bool {
-    let lasting = agent.slots.values().filter(|slot| slot.lasting);
+    let lasting = agent.slots.values().filter(|slot| slot.long_running);
     let room = lasting.fold(agent.record.capacity, |room, slot| room.minus(&slot.room));
     suits(agent, spec, step) && room.fits(&spec.reservation())
 }
@@ -77,14 +77,14 @@
     } else {
         agent.extension(now, spec.estimate)
     };
-    let disturbs = spec.best_effort && agent.serves();
+    let disturbs = spec.best_effort && agent.has_latency_sensitive();
     let disturbed = spec.tail_latency.is_some() && agent.has_best_effort();
     Fit {
         on_pace: !agent.is_slow(now),
-        safe: !agent.slots.values().any(|slot| slot.doubtful),
+        safe: !agent.slots.values().any(|slot| slot.has_evidence),
         near_data: near,
         undisturbed: !disturbs && !disturbed,
-        beside_alike: spec.long_running && agent.slots.values().any(|slot| slot.lasting),
+        beside_alike: spec.long_running && agent.slots.values().any(|slot| slot.long_running),
         delay: Reverse(later.as_millis() / END_RESOLUTION.as_millis()),
         busy: agent.used.millicores,
     }
--- a/src/core/workload/scheduler/probes.rs
+++ b/src/core/workload/scheduler/probes.rs
@@ -1,15 +1,17 @@
-//! Where tasks run next under which hosts have ended.
+//! Where tasks run next after hosts have ended under them.
 //!
-//! One under which a single host has ended runs at once, but apart from others like it and where little
-//! else does: if one of those that were there ended the host, only that one ends another.
+//! A task under which a single host has ended may run at once, but apart from other such tasks and
+//! where few tasks run: if one of the tasks that were on the host ended it, only that one will end
+//! another.
 //!
-//! A short suspect runs on a *probe*: an agent where nothing else does but what lasts, from its start to
-//! its end, so that hardly anything but the suspect can be what ends it. Nothing new is started there while
-//! it empties, nor beside the suspect. What else of the suspect's unit could start waits until it is done.
+//! A suspected batch task runs on a *probe*: an agent that is kept free of other batch tasks from
+//! the task's start to its end, so that hardly anything but the suspect can end the host. Nothing
+//! new is started on a probe while it empties, nor beside the suspect. The other startable tasks of
+//! the suspect's unit wait until it is done.
 //!
-//! What lasts and is suspected runs apart from other suspects, and on no probe: it would hold one for as
-//! long as it is suspected, and in a small pool all hosts. For the same reason it keeps no host from being
-//! a probe.
+//! A suspected long-running task runs apart from other suspects, but never on a probe: it would
+//! hold a probe for as long as it is suspected, and in a small pool all hosts. For the same reason,
+//! a long-running task on a host doesn't keep the host from becoming a probe.
 
 use std::{
     cmp::Reverse,
@@ -19,33 +21,35 @@
 
 use super::{
     Agent, Ledger, MAX_ROUND_STARTS, MinionId, Now, Placement, PoolId, Scheduler, Slot, StepId,
-    StepSpec, TaskId, agent::LATELY, place, starts::decided_attempts, suspects::Held, unit::Unit,
+    StepSpec, TaskId, agent::RECENTLY_SEEN, place, starts::decided_attempts,
+    suspects::TaskEvidence, unit::SuspectUnit,
 };
 use crate::core::workload::suspicion::Evidence;
 
-/// Of a pool's hosts, one in so many is a probe at most, as long as no unit has waited for too long, and
-/// then.
-const PROBES: (usize, usize) = (4, 2);
-/// From one look for a probe to the next. Each is at up to all agents of a pool.
-const LOOK: Duration = Duration::from_millis(20);
-/// How long a unit waits for a probe before there may be more of them, or before it runs beside others if no
-/// host will be free for it. Callers count on a task that could be started not waiting for three seconds.
-const PATIENCE: Duration = Duration::from_millis(2000);
+/// At most one in this many hosts of a pool is a probe: the first number while the unit in question
+/// has waited for a short time, the second once it has waited for too long.
+const PROBE_DIVISORS: (usize, usize) = (4, 2);
+/// The interval between two searches for a probe. Each search may visit all agents of a pool.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a unit waits for a probe before there may be more probes, or before it runs beside
+/// other tasks if no host will become free for it. Callers rely on a task that could be started
+/// waiting less than three seconds.
+const MAX_PROBE_WAIT: Duration = Duration::from_millis(2000);
 
 /// A unit that waits for a probe.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     since: Now,
-    /// When one is looked for again.
-    next: Now,
+    /// When to search again.
+    next_search: Now,
 }
 
 /// The agents that are probes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probes {
-    /// Which unit runs there, or is to.
-    agents: BTreeMap<MinionId, Option<Unit>>,
-    waiting: BTreeMap<Unit, Waiting>,
+    /// The unit that runs on each probe or is about to.
+    agents: BTreeMap<MinionId, Option<SuspectUnit>>,
+    waiting: BTreeMap<SuspectUnit, Waiting>,
 }
 
 impl Probes {
@@ -54,31 +58,31 @@
         self.agents.contains_key(agent)
     }
 
-    /// Has a unit run on an agent, which is a probe from now on.
-    pub(super) fn insert(&mut self, agent: MinionId, unit: Unit) {
+    /// Makes an agent the probe of a unit.
+    pub(super) fn insert(&mut self, agent: MinionId, unit: SuspectUnit) {
         self.agents.insert(agent, Some(unit));
     }
 
-    /// The probe where a unit runs, or is to.
-    fn of(&self, unit: Unit) -> Option<MinionId> {
+    /// The probe where a unit runs or is about to.
+    fn probe_of(&self, unit: SuspectUnit) -> Option<MinionId> {
         let mut probes = self.agents.iter();
         let probe = probes.find(|(_, current)| **current == Some(unit));
         probe.map(|(id, _)| id.clone())
     }
 }
 
-/// A task of a step that is to be started.
+/// A step whose tasks are to be started, and its pool.
 #[derive(Clone, Copy)]
-struct Sought<'a> {
+struct StartRequest<'a> {
     pool: &'a PoolId,
     step: StepId,
     spec: &'a StepSpec,
 }
 
 impl Scheduler {
-    /// Starts the suspected tasks that wait for hosts of a pool, where they may run now.
+    /// Starts the suspected tasks that wait for hosts of a pool, as far as they may run now.
     ///
-    /// Their hosts are free of all else, so that it doesn't count how full the others are.
+    /// A probe is free of other batch tasks, so how full the other hosts are doesn't matter.
     pub(super) fn start_on_probes(
         &mut self,
         now: Now,
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Starts the tasks of a step under which hosts have ended, where they may run now.
+    /// Starts the tasks of a step under which hosts have ended, as far as they may run now.
     pub(super) fn start_suspects(
         &mut self,
         now: Now,
@@ -114,29 +118,29 @@
         };
         let pool = ready.pool.clone();
         let pool = &pool;
-        let sought = Sought { pool, step, spec };
+        let request = StartRequest { pool, step, spec };
         let tasks = ready.free.iter().map(|task| TaskId { step, task: *task });
         let tasks = tasks.filter_map(|task| Some((self.suspects.get(task)?, task)));
         let mut tasks: Vec<_> = tasks.collect();
-        // Where not all fit one host, those go first that are the nearest to a verdict.
-        tasks.sort_by_key(|(Held { evidence, .. }, task)| {
+        // If not all of them fit on one host, those with the most evidence go first.
+        tasks.sort_by_key(|(TaskEvidence { evidence, .. }, task)| {
             let Evidence {
                 own, weight, hosts, ..
             } = evidence;
             (Reverse((own.hosts, *weight, *hosts)), *task)
         });
-        for (held, task) in tasks {
+        for (entry, task) in tasks {
             if !self.cap_allows(ledger, step, spec, 1) {
                 return;
             }
-            let unit = self.suspects.unit(task, spec.long_running);
+            let unit = self.suspects.suspect_unit(task, spec.long_running);
             let agent = match unit {
-                Some(unit @ Unit::Job(_)) if self.suspects.is_suspect(task, held) => {
-                    self.probe_for(now, &sought, unit, task)
+                Some(unit @ SuspectUnit::Job(_)) if self.suspects.is_suspect(task, entry) => {
+                    self.probe_for(now, &request, unit, task)
                 }
-                // It waits until the others of its unit are done.
-                Some(Unit::Job(_)) => None,
-                Some(Unit::Task(_)) | None => self.apart(now, &sought, task),
+                // The task waits until the suspected tasks of its unit are done.
+                Some(SuspectUnit::Job(_)) => None,
+                Some(SuspectUnit::Task(_)) | None => self.place_apart(now, &request, task),
             };
             let Some(agent) = agent else {
                 return;
@@ -151,24 +155,26 @@
         }
     }
 
-    /// An agent for a task under which one host has ended: away from others like it, and where an end
-    /// does little harm.
-    fn apart(&self, now: Now, sought: &Sought<'_>, task: TaskId) -> Option<MinionId> {
-        let Sought { pool, step, spec } = *sought;
+    /// An agent for a task that runs on no probe: away from other tasks under which hosts have
+    /// ended, and where the end of the host does little harm.
+    fn place_apart(&self, now: Now, request: &StartRequest<'_>, task: TaskId) -> Option<MinionId> {
+        let StartRequest { pool, step, spec } = *request;
         let able = self.agents_accepting_work(now, pool, spec.reservation().millicores);
         let able = able.filter(|agent| {
             self.is_eligible(now, step, agent) && place::may_run(agent, spec, step)
         });
         let mut able = able.peekable();
-        // What is looked up for the choice isn't where there is none: full pools are asked all the time.
+        // Full pools are asked all the time, so nothing is computed for the choice unless there is
+        // one.
         able.peek()?;
         let companions = self.losses.companions(task, None);
         let rank = |agent: &&Agent| {
-            // What stood beside it when a host ended stays away from it, or the next end tells nothing.
+            // A unit that ran beside the task on a host that ended is kept apart from it. Otherwise
+            // the next end couldn't tell the two apart.
             let slots = agent.slots.iter();
             let again = slots.filter(|(other, slot)| {
-                let unit = Unit::of(**other, slot.lasting);
-                !slot.lasting && companions.contains(&unit)
+                let unit = SuspectUnit::of(**other, slot.long_running);
+                !slot.long_running && companions.contains(&unit)
             });
             let tasks = agent.slots.keys();
             let others = tasks.filter(|task| self.suspects.get(**task).is_some());
@@ -188,45 +194,62 @@
     fn probe_for(
         &mut self,
         now: Now,
-        sought: &Sought<'_>,
-        unit: Unit,
+        request: &StartRequest<'_>,
+        unit: SuspectUnit,
         task: TaskId,
     ) -> Option<MinionId> {
         let waiting = self.probes.waiting.get(&unit).copied();
-        if waiting.is_some_and(|waiting| now < waiting.next) {
+        if waiting.is_some_and(|waiting| now < waiting.next_search) {
             return None;
         }
         let probe = self
             .probes
-            .of(unit)
-            .or_else(|| self.free_probe(now, sought, unit))
-            .or_else(|| self.new_probe(now, sought, unit));
+            .probe_of(unit)
+            .or_else(|| self.idle_probe(now, request, unit))
+            .or_else(|| self.new_probe(now, request, unit));
         if let Some(probe) = &probe {
             self.probes.insert(probe.clone(), unit);
         }
-        let ready = probe.filter(|probe| self.is_ready(now, probe, sought, unit));
+        let ready = probe.filter(|probe| self.is_ready(now, probe, request, unit));
         if ready.is_some() {
             self.probes.waiting.remove(&unit);
             return ready;
         }
         let since = waiting.map_or(now, |waiting| waiting.since);
-        let next = now + LOOK;
-        self.probes.waiting.insert(unit, Waiting { since, next });
-        let held = self.suspects.get(task);
-        let last = held.is_some_and(|held| held.evidence.own.must_isolate());
-        let share = now >= since + PATIENCE && !last && self.is_hopeless(now, sought, unit);
-        let beside = share.then(|| self.apart(now, sought, task)).flatten();
+        let next = now + SEARCH_INTERVAL;
+        self.probes.waiting.insert(
+            unit,
+            Waiting {
+                since,
+                next_search: next,
+            },
+        );
+        let entry = self.suspects.get(task);
+        let last = entry.is_some_and(|entry| entry.evidence.own.must_isolate());
+        let share =
+            now >= since + MAX_PROBE_WAIT && !last && self.has_no_candidate(now, request, unit);
+        let beside = share
+            .then(|| self.place_apart(now, request, task))
+            .flatten();
         if let Some(agent) = &beside {
-            self.log_beside(now, sought, unit, since, agent);
-            // The next wait is one of its own.
+            self.log_shared_start(now, request, unit, since, agent);
+            // The next wait of the unit starts from zero.
             self.probes.waiting.remove(&unit);
         }
         beside
     }
 
-    /// Logs that a suspect isn't kept apart, and what its pool's hosts run instead.
-    fn log_beside(&self, now: Now, sought: &Sought<'_>, unit: Unit, since: Now, beside: &MinionId) {
-        let Sought { pool, step, spec } = *sought;
+    /// Logs that a suspect runs beside other tasks, and what keeps the pool's hosts from being its
+    /// probe.
+    fn log_shared_start(
+        &self,
+        now: Now,
+        request: &StartRequest<'_>,
+        unit: SuspectUnit,
+        since: Now,
+        beside: &MinionId,
+    ) {
+        let StartRequest { pool, step, spec } = *request;
         let agents = || self.agents.with_room(pool, 0);
         let able = agents()
             .filter(|agent| self.can_accept_work(now, agent))
@@ -237,67 +260,77 @@
         let (agents, probes) = (agents().count(), self.count_probes(pool));
         let others = self.agents.get(beside).map_or(0, |agent| agent.slots.len());
         let waited = now.saturating_sub(since);
-        log::info!(step:%, agent:% = beside, others, waited:?, agents, able, blocked, probes; "a suspect runs beside others, as no host was free for it");
+        log::info!(step:%, agent:% = beside, others, waited:?, agents, able, blocked, probes; "a suspected task runs beside others, as no host is free for it");
     }
 
-    /// Whether no host of a pool will be free for a unit.
-    fn is_hopeless(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> bool {
-        let mut agents = self.agents.with_room(sought.pool, 0);
-        !agents.any(|agent| self.could_begin(now, agent, sought, unit))
+    /// Whether no host of a pool will become free for a unit.
+    fn has_no_candidate(&self, now: Now, request: &StartRequest<'_>, unit: SuspectUnit) -> bool {
+        let mut agents = self.agents.with_room(request.pool, 0);
+        !agents.any(|agent| self.could_host(now, agent, request, unit))
     }
 
     /// Whether a unit may start on its probe now.
-    fn is_ready(&mut self, now: Now, probe: &MinionId, sought: &Sought<'_>, unit: Unit) -> bool {
-        let Sought { step, spec, .. } = *sought;
+    fn is_ready(
+        &mut self,
+        now: Now,
+        probe: &MinionId,
+        request: &StartRequest<'_>,
+        unit: SuspectUnit,
+    ) -> bool {
+        let StartRequest { step, spec, .. } = *request;
         let Some(agent) = self.agents.get(probe) else {
             return false;
         };
         let free = self.can_accept_work(now, agent)
             && self.is_alone(agent, unit)
             && place::may_run(agent, spec, step);
-        let lives = now <= agent.heard + LATELY;
+        let recent = now <= agent.last_seen + RECENTLY_SEEN;
         if free
-            && !lives
+            && !recent
             && let Some(agent) = self.agents.get_mut(probe)
         {
-            // Whether it still lives has to be known before, or its end would be put down to the unit.
-            agent.looked = None;
-            agent.next = agent.next.min(now);
+            // The agent has to be heard from before the start. Otherwise, if its host has ended
+            // already, that end would be attributed to the unit.
+            agent.clean_report = None;
+            agent.renewal_due = agent.renewal_due.min(now);
         }
-        free && lives
+        free && recent
     }
 
-    /// Whether nothing is placed at an agent besides a unit but what lasts and isn't suspected.
-    fn is_alone(&self, agent: &Agent, unit: Unit) -> bool {
+    /// Whether nothing is placed on an agent besides a unit and the tasks that don't disturb its
+    /// trial.
+    fn is_alone(&self, agent: &Agent, unit: SuspectUnit) -> bool {
         let mut slots = agent.slots.iter();
-        slots.all(|(task, slot)| self.is_apart(*task, slot, unit))
+        slots.all(|(task, slot)| self.is_harmless(*task, slot, unit))
     }
 
-    /// Whether nothing besides a unit may be what ended an agent.
-    pub(super) fn was_alone(&self, agent: &Agent, unit: Unit) -> bool {
+    /// Whether no task outside a unit can have ended an agent.
+    pub(super) fn was_alone(&self, agent: &Agent, unit: SuspectUnit) -> bool {
         let mut ran = agent.slots.iter().filter(|(_, slot)| slot.may_run());
-        ran.all(|(task, slot)| self.is_apart(*task, slot, unit))
+        ran.all(|(task, slot)| self.is_harmless(*task, slot, unit))
     }
 
-    /// Whether a task is of a unit, or keeps none from being tried: what lasts doesn't keep what is short,
-    /// as it is at every host of a small pool, and tells little by the time that it has been at work.
-    fn is_apart(&self, task: TaskId, slot: &Slot, unit: Unit) -> bool {
-        let short = matches!(unit, Unit::Job(_));
-        let harmless = slot.lasting && (short || !self.suspects.has_ended_more(task));
-        harmless || Unit::of(task, slot.lasting) == unit
+    /// Whether a task belongs to a unit or doesn't disturb its trial. A long-running task doesn't
+    /// disturb the trial of a batch task: it is on every host of a small pool, and how long it has
+    /// run there says little. It disturbs the trial of another long-running task if it is suspected
+    /// itself.
+    fn is_harmless(&self, task: TaskId, slot: &Slot, unit: SuspectUnit) -> bool {
+        let batch = matches!(unit, SuspectUnit::Job(_));
+        let harmless = slot.long_running && (batch || !self.suspects.is_task_suspected(task));
+        harmless || SuspectUnit::of(task, slot.long_running) == unit
     }
 
-    /// Takes the probes over from an earlier leader.
+    /// Takes over the probes of an earlier leader.
     pub(super) fn inherit_probes(&mut self) {
         let suspects = self.suspects.suspected();
         let units: BTreeSet<_> = suspects
-            .filter(|(_, held)| !held.lasting)
-            .map(|(task, held)| Unit::of(task, held.lasting))
+            .filter(|(_, entry)| !entry.long_running)
+            .map(|(task, entry)| SuspectUnit::of(task, entry.long_running))
             .collect();
         for unit in units {
             let there = |agent: &Agent| {
                 let mut slots = agent.slots.iter();
-                slots.any(|(task, slot)| Unit::of(*task, slot.lasting) == unit)
+                slots.any(|(task, slot)| SuspectUnit::of(*task, slot.long_running) == unit)
             };
             let probes = self.agents.iter();
             let probes = probes.filter(|(_, agent)| there(agent) && self.is_alone(agent, unit));
@@ -305,39 +338,50 @@
             for probe in probes {
                 if let Some(agent) = self.agents.get_mut(&probe) {
                     let slots = agent.slots.values_mut();
-                    slots.for_each(|slot| slot.probed = true);
+                    slots.for_each(|slot| slot.on_probe = true);
                 }
                 self.probes.insert(probe, unit);
             }
         }
     }
 
-    /// Whether a unit could run on an agent once what is short there has ended.
-    fn could_begin(&self, now: Now, agent: &Agent, sought: &Sought<'_>, unit: Unit) -> bool {
-        let Sought { step, spec, .. } = *sought;
+    /// Whether a unit could run on an agent once the batch tasks there have ended.
+    fn could_host(
+        &self,
+        now: Now,
+        agent: &Agent,
+        request: &StartRequest<'_>,
+        unit: SuspectUnit,
+    ) -> bool {
+        let StartRequest { step, spec, .. } = *request;
         self.is_eligible(now, step, agent)
             && place::could_run(agent, spec, step)
             && self.will_be_alone(agent, unit)
     }
 
-    /// Whether a unit is alone at an agent once what is short there has ended.
-    fn will_be_alone(&self, agent: &Agent, unit: Unit) -> bool {
-        let mut lasting = agent.slots.iter().filter(|(_, slot)| slot.lasting);
-        lasting.all(|(task, slot)| self.is_apart(*task, slot, unit))
+    /// Whether a unit will be alone on an agent once the batch tasks there have ended.
+    fn will_be_alone(&self, agent: &Agent, unit: SuspectUnit) -> bool {
+        let mut long_running = agent.slots.iter().filter(|(_, slot)| slot.long_running);
+        long_running.all(|(task, slot)| self.is_harmless(*task, slot, unit))
     }
 
-    /// A probe of a pool where nothing runs now.
-    fn free_probe(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> Option<MinionId> {
-        let Sought { pool, step, spec } = *sought;
+    /// A probe of a pool that no unit uses now.
+    fn idle_probe(
+        &self,
+        now: Now,
+        request: &StartRequest<'_>,
+        unit: SuspectUnit,
+    ) -> Option<MinionId> {
+        let StartRequest { pool, step, spec } = *request;
         let probes = self.probes.agents.iter();
         let free = probes.filter(|(_, current)| current.is_none());
         let free = free.filter_map(|(id, _)| self.agents.get(id));
         let free = free.filter(|agent| {
             agent.record.pool == *pool
                 && self.can_accept_work(now, agent)
-                && self.could_begin(now, agent, sought, unit)
+                && self.could_host(now, agent, request, unit)
         });
-        // Whose turn it is next.
+        // Prefers the probes where the unit can start at once.
         let rank = |agent: &&Agent| {
             let ready = self.is_alone(agent, unit) && place::may_run(agent, spec, step);
             (!ready, agent.record.id.clone())
@@ -346,31 +390,41 @@
         next.map(|agent| agent.record.id.clone())
     }
 
-    /// An agent that becomes a probe: a sound one that is empty soon.
-    fn new_probe(&self, now: Now, sought: &Sought<'_>, unit: Unit) -> Option<MinionId> {
-        let pool = sought.pool;
+    /// An agent to become a probe: one whose host hasn't ended recently and that will be empty
+    /// soon.
+    fn new_probe(
+        &self,
+        now: Now,
+        request: &StartRequest<'_>,
+        unit: SuspectUnit,
+    ) -> Option<MinionId> {
+        let pool = request.pool;
         let waiting = self.probes.waiting.get(&unit);
-        let patient = waiting.is_none_or(|waiting| now < waiting.since + PATIENCE);
-        let part = if patient { PROBES.0 } else { PROBES.1 };
-        let full = self.count_probes(pool) >= self.agents.count(pool).div_ceil(part);
+        let patient = waiting.is_none_or(|waiting| now < waiting.since + MAX_PROBE_WAIT);
+        let part = if patient {
+            PROBE_DIVISORS.0
+        } else {
+            PROBE_DIVISORS.1
+        };
+        let full = self.count_probes(pool) >= self.agents.pool_size(pool).div_ceil(part);
         if full && patient {
             return None;
         }
         let able = self.agents_accepting_work(now, pool, 0);
         let able = able.filter(|agent| {
-            // Whoever runs nothing though units wait for long is of no use to others now.
-            (!full || agent.slots.is_empty()) && self.could_begin(now, agent, sought, unit)
+            // While units have waited too long, an agent that runs nothing can be spared.
+            (!full || agent.slots.is_empty()) && self.could_host(now, agent, request, unit)
         });
         let rank = |agent: &&Agent| {
-            let lasts = agent.slots.values().any(|slot| slot.lasting);
+            let long_running = agent.slots.values().any(|slot| slot.long_running);
             let tasks = agent.slots.keys();
-            let doubtful = tasks.filter(|task| self.suspects.has_ended_more(**task));
-            let doubtful = doubtful.count();
+            let suspected = tasks.filter(|task| self.suspects.is_task_suspected(**task));
+            let suspected = suspected.count();
             let tainted = self.taint(now, agent);
-            let empties = agent.empties().filter(|_| !lasts);
+            let empties = agent.empty_at().filter(|_| !long_running);
             (
-                lasts,
-                doubtful,
+                long_running,
+                suspected,
                 tainted,
                 empties,
                 agent.slots.len(),
@@ -380,15 +434,15 @@
         able.min_by_key(rank).map(|agent| agent.record.id.clone())
     }
 
-    /// Probes of a pool.
+    /// The number of probes in a pool.
     fn count_probes(&self, pool: &PoolId) -> usize {
         let probes = self.probes.agents.keys();
         let probes = probes.filter_map(|id| self.agents.get(id));
         probes.filter(|agent| agent.record.pool == *pool).count()
     }
 
-    /// Frees the probes whose units are done, and lets those go that no unit needs.
-    pub(super) fn review_probes(&mut self, now: Now) {
+    /// Frees the probes whose units are done, and gives up the probes that no unit needs.
+    pub(super) fn release_probes(&mut self, now: Now) {
         if self.probes.agents.is_empty() && self.probes.waiting.is_empty() {
             return;
         }
@@ -396,12 +450,15 @@
         for (id, current) in &mut probes {
             *current = current.filter(|unit| {
                 let agent = self.agents.get(id);
-                agent.is_some_and(|agent| self.is_of_use(agent, *unit))
+                agent.is_some_and(|agent| self.is_needed_by(agent, *unit))
             });
         }
-        // Units wait in these pools.
-        let short = self.suspects.suspected().filter(|(_, held)| !held.lasting);
-        let waiting = short.filter_map(|(task, _)| {
+        // The pools in which suspected batch tasks wait.
+        let batch = self
+            .suspects
+            .suspected()
+            .filter(|(_, entry)| !entry.long_running);
+        let waiting = batch.filter_map(|(task, _)| {
             let ready = self.ready.get(task.step)?;
             let waits = ready.free.contains(&task.task);
             waits.then(|| ready.pool.clone())
@@ -409,10 +466,11 @@
         let waiting: BTreeSet<_> = waiting.collect();
         probes.retain(|id, current| {
             let agent = self.agents.get(id);
-            // What runs there goes on, but nothing that waits for it would ever start there.
+            // If the agent takes no new tasks, what runs there goes on, but a waiting unit would
+            // never start there.
             let agent = agent.filter(|agent| {
                 let busy = current.is_some() && !agent.slots.is_empty();
-                self.can_accept_work(now, agent) || (busy && agent.is_well() && !agent.cordoned)
+                self.can_accept_work(now, agent) || (busy && agent.is_healthy() && !agent.cordoned)
             });
             agent.is_some_and(|agent| current.is_some() || waiting.contains(&agent.record.pool))
         });
@@ -420,19 +478,19 @@
         let suspects = &self.suspects;
         self.probes
             .waiting
-            .retain(|unit, _| suspects.is_suspected(*unit));
+            .retain(|unit, _| suspects.is_unit_suspected(*unit));
     }
 
     /// Whether a suspected unit runs on an agent, or could.
-    fn is_of_use(&self, agent: &Agent, unit: Unit) -> bool {
+    fn is_needed_by(&self, agent: &Agent, unit: SuspectUnit) -> bool {
         let waits = |task: TaskId| {
             let ready = self.ready.get(task.step);
             ready.is_some_and(|ready| ready.free.contains(&task.task))
         };
         let mut there = agent.slots.iter();
-        self.suspects.is_suspected(unit)
+        self.suspects.is_unit_suspected(unit)
             && self.will_be_alone(agent, unit)
-            && (there.any(|(task, slot)| Unit::of(*task, slot.lasting) == unit)
-                || self.suspects.of(unit).any(|(task, _)| waits(task)))
+            && (there.any(|(task, slot)| SuspectUnit::of(*task, slot.long_running) == unit)
+                || self.suspects.of_unit(unit).any(|(task, _)| waits(task)))
     }
 }
--- a/src/core/workload/scheduler/starts.rs
+++ b/src/core/workload/scheduler/starts.rs
@@ -11,8 +11,8 @@
 
 use super::{
     About, Agent, DEFAULT_MAX_ATTEMPTS, EndBatch, Ledger, MAX_ROUND_STARTS, MinionId, Name, Now,
-    Phase, Placement, PoolId, RENEWAL_GAP, Round, Scheduler, Slot, StartOrder, StepId, StepSpec,
-    TaskId, Wall, What,
+    OrderKind, Phase, Placement, PoolId, RENEWAL_GAP, Round, Scheduler, Slot, StartOrder, StepId,
+    StepSpec, TaskId, Wall,
     place::{self, AgentRanking},
 };
 use crate::core::{
@@ -30,20 +30,20 @@
         let ends: Vec<_> = std::mem::take(&mut self.ends).into_values().collect();
         let failed = self.failed_jobs(ledger, &ends);
         let cleared = self.clear_suspects(now, ledger);
-        self.review_probes(now);
+        self.release_probes(now);
         let mut round = Round {
             ends,
             freed: std::mem::take(&mut self.abandoned),
             failed,
             starts: Vec::new(),
-            intent: self.touch(now),
-            poison_tasks: self.suspects.take_convicted(),
+            intent: self.next_intent(now),
+            poison_tasks: self.suspects.take_poison_tasks(),
             cleared,
             not_started: std::mem::take(&mut self.not_started),
             at: wall,
         };
         self.ready.demote_late(now);
-        self.agents.index();
+        self.agents.update_indexes();
         for pool in self.ready.pools() {
             self.fill_pool(now, ledger, &pool, &mut round.starts);
         }
@@ -88,7 +88,7 @@
         // them took two thirds of the leader's time with 300 agents (profiled in a test run).
         let mut widest: Option<Resources> = None;
         let mut last = None;
-        let mut apart = self.apart_in(ledger, pool);
+        let mut apart = self.sharing_limits(ledger, pool);
         while starts.len() < MAX_ROUND_STARTS
             && let Some(least) = self.ready.min_millicores(pool)
             && widest.is_none_or(|widest| least <= widest.millicores)
@@ -109,7 +109,7 @@
             }
             let spec = ready.spec.clone();
             let asked = ready.eligibility.is_some();
-            if self.suspects.has(job) && !spec.gang {
+            if self.suspects.has_job(job) && !spec.gang {
                 self.start_suspects(now, ledger, rank.step(), &spec, starts);
             }
             if spec.gang {
@@ -125,7 +125,10 @@
             // Tasks under which hosts were lost were started above, or wait.
             let tasks = tasks.filter(|task| {
                 self.suspects.get(*task).is_none()
-                    && self.suspects.unit(*task, spec.long_running).is_none()
+                    && self
+                        .suspects
+                        .suspect_unit(*task, spec.long_running)
+                        .is_none()
             });
             let tasks: Vec<_> = tasks.collect();
             if tasks.is_empty() || !self.cap_allows(ledger, step, &spec, 1) {
@@ -148,7 +151,7 @@
                 let Some(agent) = choice.take() else {
                     widest = Some(self.largest_free(now, pool));
                     if let Some(job) = found {
-                        apart.note_full(job);
+                        apart.record_full(job);
                     }
                     break;
                 };
@@ -186,7 +189,7 @@
             return;
         }
         let first = TaskId { step, task: 0 };
-        let unit = self.suspects.unit(first, spec.long_running);
+        let unit = self.suspects.suspect_unit(first, spec.long_running);
         let able = self.agents_accepting_work(now, &ready.pool, spec.reservation().millicores);
         let able = able.filter(|agent| self.is_eligible(now, step, agent));
         // The members of a gang run together, so a suspected gang has its hosts to itself.
@@ -226,10 +229,10 @@
         self.reserve(ledger, task, spec);
         self.ready.take(task.step, task.task);
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
-            self.agent_ages.push(now.saturating_sub(agent.heard));
+            self.agent_ages.push(now.saturating_sub(agent.last_seen));
             let mut slot = Slot::new(spec, placed.attempt, Phase::Proposed, now);
-            slot.doubtful = self.suspects.get(task).is_some();
-            slot.probed = self.probes.contains(&placed.agent);
+            slot.has_evidence = self.suspects.get(task).is_some();
+            slot.on_probe = self.probes.contains(&placed.agent);
             agent.add(task, slot);
             self.agents.reindex(&placed.agent);
         }
@@ -270,12 +273,12 @@
     /// Whether an agent may get new work.
     pub(super) fn can_accept_work(&self, now: Now, agent: &Agent) -> bool {
         !agent.record.leaving
-            && !agent.unseen
+            && !agent.unconfirmed
             && !agent.cordoned
-            && agent.trouble.is_none()
+            && agent.failing_since.is_none()
             && !self.has_unsettled_predecessor(agent)
-            && agent.aside <= now
-            && now < agent.heard + self.settings.max_silence
+            && agent.excluded_until <= now
+            && now < agent.last_seen + self.settings.max_silence
     }
 
     /// Whether an agent may still run what was ordered of an earlier incarnation.
@@ -299,7 +302,7 @@
             let Some(agent) = self.agents.get_mut(id) else {
                 continue;
             };
-            let well = agent.trouble.is_none();
+            let well = agent.failing_since.is_none();
             let mut tasks = Vec::new();
             for (task, slot) in &agent.slots {
                 if slot.phase != Phase::Due {
@@ -336,32 +339,32 @@
                 checkpoint,
             };
             let about = About::Start(id.clone(), task);
-            let order = self.send_order(now, about, What::Start(Box::new(start)));
+            let order = self.send_order(now, about, OrderKind::Start(Box::new(start)));
             let pool = self.agents.get(&id).map(|agent| &agent.record.pool);
-            let gap = pool.map_or(RENEWAL_GAP, |pool| self.gap(pool));
+            let gap = pool.map_or(RENEWAL_GAP, |pool| self.renewal_pause(pool));
             let Some(agent) = self.agents.get_mut(&id) else {
                 continue;
             };
             // The agent may have been polled just before, while it ran nothing. The lease that the
             // start grants may expire before a renewal that gets no answer is repeated. So a
             // renewal is sent at once while there is time.
-            let soon = agent.is_due_soon(now, settings.lease);
+            let soon = agent.needs_renewal(now, settings.lease);
             let gap = if soon {
                 gap.saturating_sub(RENEWAL_GAP)
             } else {
                 gap
             };
-            agent.next = agent.next.min(now + gap);
+            agent.renewal_due = agent.renewal_due.min(now + gap);
             let leaving = agent.record.leaving;
             if let Some(slot) = agent.slots.get_mut(&task) {
-                let delay = now.saturating_sub(slot.placed);
+                let delay = now.saturating_sub(slot.placed_at);
                 let tries = slot.tries;
                 if delay > LATE_START_DELAY || tries > 0 || leaving {
                     log::info!(agent:% = id, task:%, attempt, order, delay:?, tries, leaving; "a start is sent late");
                 }
                 self.start_delays.push(delay);
                 slot.tries += 1;
-                slot.enter(now, Phase::Starting(order));
+                slot.set_phase(now, Phase::Starting(order));
             }
         }
     }
@@ -379,10 +382,10 @@
         log::info!(agent:% = id, task:%, attempt, tries, leaving; "a start is withdrawn because it can no longer begin in time");
         if slot.unanswered.is_some() {
             slot.tries = 0;
-            slot.enter(now, Phase::Stopping(None));
+            slot.set_phase(now, Phase::Stopping(None));
             return;
         }
-        slot.enter(now, Phase::Ended);
+        slot.set_phase(now, Phase::Ended);
         self.abandoned.push(Placement {
             task,
             attempt,
@@ -405,11 +408,11 @@
         }
         for (id, to, task, attempt) in due {
             let about = About::Stop(id.clone(), task);
-            let what = What::Stop { to, task, attempt };
+            let what = OrderKind::Stop { to, task, attempt };
             let order = self.send_order(now, about, what);
             if let Some(slot) = self.slot(&id, task) {
                 slot.tries += 1;
-                slot.enter(now, Phase::Stopping(Some(order)));
+                slot.set_phase(now, Phase::Stopping(Some(order)));
             }
         }
     }
--- a/src/core/workload/scheduler/suspects.rs
+++ b/src/core/workload/scheduler/suspects.rs
@@ -1,179 +1,193 @@
-//! Tasks under which hosts have ended, and which of them are convicted.
+//! Tasks under which hosts have ended, and which of them are poison tasks.
 //!
-//! Where they run next is told by [`probes`](super::probes).
+//! [`probes`](super::probes) decides where they run next.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
 
-use super::{JobId, Ledger, Now, Phase, Scheduler, Slot, TaskId, unit::Unit};
+use super::{JobId, Ledger, Now, Phase, Scheduler, Slot, TaskId, unit::SuspectUnit};
 use crate::core::workload::{job::Job, suspicion::Evidence};
 
-/// A lasting task that has been at work for so many times as long as when hosts ended under it isn't what
-/// ended them.
-const PROBATION: u32 = 2;
-/// No lasting task is suspected for longer: what ended its hosts before has ended by then, or isn't known
-/// by its time.
-const LONGEST: Duration = Duration::from_secs(30);
+/// A long-running task is cleared once it has run for this many times the longest time after which
+/// a host ended under it.
+const CLEARANCE_FACTOR: u32 = 2;
+/// No long-running task stays suspected for longer. By then, whatever ended its hosts is over, or
+/// the time that the task runs doesn't reveal it.
+const MAX_SUSPICION: Duration = Duration::from_secs(30);
 
-/// A task under which hosts have ended.
+/// The evidence against a task under which hosts have ended.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Held {
+pub(super) struct TaskEvidence {
     pub(super) evidence: Evidence,
-    pub(super) lasting: bool,
+    pub(super) long_running: bool,
 }
 
 /// The tasks under which hosts have ended.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspects {
-    jobs: BTreeMap<JobId, BTreeMap<TaskId, Held>>,
-    /// Tasks whose jobs fail with the next round.
-    convicted: Vec<TaskId>,
-    /// Their jobs, until they are over.
+    jobs: BTreeMap<JobId, BTreeMap<TaskId, TaskEvidence>>,
+    /// Poison tasks whose jobs fail with the next round.
+    poison_tasks: Vec<TaskId>,
+    /// The jobs of poison tasks, until they are over.
     failing: BTreeSet<JobId>,
-    /// Of how many hosts that ended under each unit it turned out that another ended them.
-    explained: BTreeMap<Unit, u32>,
+    /// For each unit, how many of the hosts that ended under it turned out to be ended by another
+    /// unit.
+    explained: BTreeMap<SuspectUnit, u32>,
 }
 
 impl Suspects {
-    /// Nothing is held against a task any more; what was.
-    pub(super) fn clear(&mut self, task: TaskId) -> Option<Held> {
+    /// Drops the evidence against a task and returns it.
+    pub(super) fn clear(&mut self, task: TaskId) -> Option<TaskEvidence> {
         let job = task.step.job;
         let tasks = self.jobs.get_mut(&job)?;
-        let held = tasks.remove(&task)?;
+        let entry = tasks.remove(&task)?;
         if tasks.is_empty() {
             self.jobs.remove(&job);
         }
-        if held.lasting {
-            self.explained.remove(&Unit::of(task, held.lasting));
+        if entry.long_running {
+            self.explained
+                .remove(&SuspectUnit::of(task, entry.long_running));
         }
-        Some(held)
+        Some(entry)
     }
 
-    /// A job is over.
+    /// Forgets a job that is over.
     pub(super) fn forget(&mut self, job: JobId) {
         self.jobs.remove(&job);
         self.failing.remove(&job);
         self.explained.retain(|unit, _| unit.job() != job);
     }
 
-    /// It turned out what ended a host under which these units ran.
-    pub(super) fn explain(&mut self, units: BTreeSet<Unit>) {
+    /// Notes that a host which ran these units was ended by another.
+    pub(super) fn mark_explained(&mut self, units: BTreeSet<SuspectUnit>) {
         for unit in units {
             *self.explained.entry(unit).or_default() += 1;
         }
     }
 
-    /// Whether a task has to run where nothing else does.
-    pub(super) fn is_suspect(&self, task: TaskId, held: Held) -> bool {
-        let unit = Unit::of(task, held.lasting);
+    /// Whether a task has to run apart from other tasks.
+    pub(super) fn is_suspect(&self, task: TaskId, entry: TaskEvidence) -> bool {
+        let unit = SuspectUnit::of(task, entry.long_running);
         let explained = self.explained.get(&unit).copied().unwrap_or_default();
-        held.evidence.is_suspect_excluding(explained)
+        entry.evidence.is_suspect_excluding(explained)
     }
 
     /// Whether hosts have ended under any task of a job.
-    pub(super) fn has(&self, job: JobId) -> bool {
+    pub(super) fn has_job(&self, job: JobId) -> bool {
         self.jobs.contains_key(&job)
     }
 
-    /// Whether a job is about to fail, so that nothing more of it may start.
+    /// Whether a job is about to fail, so that no more of its tasks may start.
     pub(super) fn is_failing(&self, job: JobId) -> bool {
         self.failing.contains(&job)
     }
 
-    /// The tasks whose jobs are to fail now.
-    pub(super) fn take_convicted(&mut self) -> Vec<TaskId> {
-        std::mem::take(&mut self.convicted)
+    /// Takes the tasks whose jobs are to fail now.
+    pub(super) fn take_poison_tasks(&mut self) -> Vec<TaskId> {
+        std::mem::take(&mut self.poison_tasks)
     }
 
-    /// The unit that a task has to run with where nothing else does, if it is suspected.
-    pub(super) fn unit(&self, task: TaskId, lasting: bool) -> Option<Unit> {
-        let unit = Unit::of(task, lasting);
-        self.is_suspected(unit).then_some(unit)
+    /// The unit of a task, if it is suspected and so has to run apart from other tasks.
+    pub(super) fn suspect_unit(&self, task: TaskId, long_running: bool) -> Option<SuspectUnit> {
+        let unit = SuspectUnit::of(task, long_running);
+        self.is_unit_suspected(unit).then_some(unit)
     }
 
-    pub(super) fn is_suspected(&self, unit: Unit) -> bool {
-        self.of(unit)
-            .any(|(task, held)| self.is_suspect(task, held))
+    pub(super) fn is_unit_suspected(&self, unit: SuspectUnit) -> bool {
+        self.of_unit(unit)
+            .any(|(task, entry)| self.is_suspect(task, entry))
     }
 
-    /// What is held against the tasks of a unit.
-    pub(super) fn of(&self, unit: Unit) -> impl Iterator<Item = (TaskId, Held)> {
+    /// The tasks of a unit and the evidence against each.
+    pub(super) fn of_unit(
+        &self,
+        unit: SuspectUnit,
+    ) -> impl Iterator<Item = (TaskId, TaskEvidence)> {
         let tasks = self.jobs.get(&unit.job()).into_iter().flatten();
-        let tasks = tasks.map(|(task, held)| (*task, *held));
-        tasks.filter(move |(task, held)| Unit::of(*task, held.lasting) == unit)
+        let tasks = tasks.map(|(task, entry)| (*task, *entry));
+        tasks.filter(move |(task, entry)| SuspectUnit::of(*task, entry.long_running) == unit)
     }
 
-    pub(super) fn get(&self, task: TaskId) -> Option<Held> {
+    pub(super) fn get(&self, task: TaskId) -> Option<TaskEvidence> {
         self.jobs.get(&task.step.job)?.get(&task).copied()
     }
 
-    pub(super) fn all(&self) -> impl Iterator<Item = (TaskId, Held)> {
+    pub(super) fn all(&self) -> impl Iterator<Item = (TaskId, TaskEvidence)> {
         let tasks = self.jobs.values().flatten();
-        tasks.map(|(task, held)| (*task, *held))
+        tasks.map(|(task, entry)| (*task, *entry))
     }
 
-    /// Whether more than one host has ended under a task.
-    pub(super) fn has_ended_more(&self, task: TaskId) -> bool {
-        let held = self.get(task);
-        held.is_some_and(|held| self.is_suspect(task, held))
+    /// Whether a task is suspected by the evidence against it.
+    pub(super) fn is_task_suspected(&self, task: TaskId) -> bool {
+        let entry = self.get(task);
+        entry.is_some_and(|entry| self.is_suspect(task, entry))
     }
 
-    /// The tasks that have to run where nothing else does.
-    pub(super) fn suspected(&self) -> impl Iterator<Item = (TaskId, Held)> {
+    /// The tasks that have to run apart from other tasks.
+    pub(super) fn suspected(&self) -> impl Iterator<Item = (TaskId, TaskEvidence)> {
         self.all()
-            .filter(|(task, held)| self.is_suspect(*task, *held))
+            .filter(|(task, entry)| self.is_suspect(*task, *entry))
     }
 
-    /// Whether an end of a host may still turn out to be a task's doing, as it is short and isn't done. What
-    /// lasts may never be, and hosts end under most of it some time.
-    pub(super) fn is_open(&self, task: TaskId) -> bool {
-        self.get(task).is_some_and(|held| !held.lasting)
+    /// Whether a task may still turn out to have ended a host: it is a batch task that isn't done.
+    /// For a long-running task the question may never be settled, and hosts end under most of them
+    /// sooner or later.
+    pub(super) fn is_undecided(&self, task: TaskId) -> bool {
+        self.get(task).is_some_and(|entry| !entry.long_running)
     }
 }
 
 impl Scheduler {
-    /// How many tasks are suspected to end the hosts that run them.
+    /// How many tasks are suspected of ending the hosts that run them.
     pub fn suspected(&self) -> usize {
         self.suspects.suspected().count()
     }
 
-    /// The tasks that the ends of hosts are held against. Each of them may still run.
-    pub fn held(&self) -> impl Iterator<Item = TaskId> {
+    /// The tasks under which hosts have ended. Each of them may still run.
+    pub fn tasks_with_evidence(&self) -> impl Iterator<Item = TaskId> {
         self.suspects.all().map(|(task, _)| task)
     }
 
-    /// The log holds this against a task of a job.
-    pub(super) fn suspect(&mut self, job: &Job, task: TaskId, evidence: Evidence) {
-        let lasting = !job.is_batch(task);
+    /// Takes in the evidence that the log holds against a task of a job.
+    pub(super) fn record_evidence(&mut self, job: &Job, task: TaskId, evidence: Evidence) {
+        let long_running = !job.is_batch(task);
         let Evidence {
             hosts, weight, own, ..
         } = evidence;
-        let conclusive = if lasting {
-            evidence.is_conclusive_among(self.agents.lasting())
+        let conclusive = if long_running {
+            evidence.is_conclusive_among(self.agents.long_running())
         } else {
             evidence.is_conclusive(false)
         };
-        log::info!(task:%, hosts, weight, own = own.hosts, sudden = own.weight(), conclusive; "a host has ended under a task");
+        log::info!(task:%, hosts, weight, own = own.hosts, sudden = own.weight(), conclusive; "a host ended while it ran a task");
         let tasks = self.suspects.jobs.entry(task.step.job).or_default();
-        tasks.insert(task, Held { evidence, lasting });
+        tasks.insert(
+            task,
+            TaskEvidence {
+                evidence,
+                long_running,
+            },
+        );
         if conclusive && self.suspects.failing.insert(task.step.job) {
-            self.suspects.convicted.push(task);
-            // The hosts that it ended were sound, and what else ran there didn't end them.
-            for units in self.losses.explain(task.step.job) {
-                self.suspects.explain(units);
+            self.suspects.poison_tasks.push(task);
+            // The hosts that the task ended were sound, and the other tasks there didn't end them.
+            for units in self.losses.mark_explained(task.step.job) {
+                self.suspects.mark_explained(units);
             }
         }
     }
 
-    /// Lasting tasks that have been at work for so long that nothing is held against them any more.
+    /// Clears the long-running tasks that have run for long enough, and returns them.
     pub(super) fn clear_suspects(&mut self, now: Now, ledger: &Ledger) -> Vec<TaskId> {
-        let lasting = self.suspects.all().filter(|(_, held)| held.lasting);
-        let cleared = lasting.filter(|(task, held)| {
-            let probation = (held.evidence.longest_run * PROBATION).min(LONGEST);
+        let long_running = self.suspects.all().filter(|(_, entry)| entry.long_running);
+        let cleared = long_running.filter(|(task, entry)| {
+            let clearance = (entry.evidence.longest_run * CLEARANCE_FACTOR).min(MAX_SUSPICION);
             let slot = self.placed_slot(ledger, *task);
-            slot.is_some_and(|slot| slot.phase == Phase::Running && now >= slot.since + probation)
+            slot.is_some_and(|slot| {
+                slot.phase == Phase::Running && now >= slot.phase_since + clearance
+            })
         });
         let cleared: Vec<_> = cleared.map(|(task, _)| task).collect();
         for task in &cleared {
@@ -182,7 +196,7 @@
         cleared
     }
 
-    /// What is known of a task where it is placed.
+    /// The slot of a task where it is placed.
     fn placed_slot(&self, ledger: &Ledger, task: TaskId) -> Option<&Slot> {
         let job = ledger.job(task.step.job)?;
         let agent = job.task(task)?.agent.as_ref()?;
--- a/src/core/workload/scheduler/throttle.rs
+++ b/src/core/workload/scheduler/throttle.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::{About, Agent, MinionId, Now, Phase, Report, Scheduler, What};
+use super::{About, Agent, MinionId, Now, OrderKind, Phase, Report, Scheduler};
 
 /// Shortest time between two changes of the share. Measurements cover the last half second, and a
 /// change takes a tenth of a second to take effect. At a shorter interval, a change would be judged
@@ -63,14 +63,14 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        if agent.has_best_effort() && now >= agent.throttled + MIN_CHANGE_INTERVAL {
+        if agent.has_best_effort() && now >= agent.throttled_at + MIN_CHANGE_INTERVAL {
             // Without latency-sensitive tasks nothing stands against full speed.
             let share = worst_tail(agent, report)
                 .map_or(FULL_SHARE, |tail| adjust_share(agent.share, tail));
             if share != agent.share {
                 log::info!(agent:% = id, share, before = agent.share; "the share of best-effort tasks changes");
                 agent.share = share;
-                agent.throttled = now;
+                agent.throttled_at = now;
             }
         }
         self.send_throttles(now, id);
@@ -93,7 +93,7 @@
         for (task, attempt) in due {
             let about = About::Throttle(id.clone(), task);
             let to = to.clone();
-            let what = What::Throttle {
+            let what = OrderKind::Throttle {
                 to,
                 task,
                 attempt,
--- a/src/core/workload/scheduler/vacating.rs
+++ b/src/core/workload/scheduler/vacating.rs
@@ -30,9 +30,9 @@
         let views = self.hosts.views.values();
         let soon = views.filter_map(|view| {
             let agent = self.agent_at(view)?;
-            let able = agent.is_well() && !agent.cordoned;
+            let able = agent.is_healthy() && !agent.cordoned;
             let empty = agent
-                .empties()
+                .empty_at()
                 .filter(|at| able && *at <= now + MAX_EMPTYING)?;
             let movable = self.is_movable(now, view);
             movable.then(|| (empty, view.host.clone(), view.pool.clone()))
--- a/src/manager/control.rs
+++ b/src/manager/control.rs
@@ -459,12 +459,12 @@
             return;
         };
         if let Some((span, part)) = self.load.sample() {
-            scheduler.note_busy(span, part);
+            scheduler.record_busy(span, part);
         }
         for order in self.relays.expire(now) {
             scheduler.answered(now, order, Answer::Silent);
         }
-        let share = scheduler.relayed();
+        let share = scheduler.relay_share();
         let plan = scheduler.plan(now, wall(), &self.ledger);
         self.load
             .record_plan(plan.orders.len(), plan.commands.len(), plan.visits);
@@ -484,7 +484,7 @@
         }
         let tenure = self.tenure;
         for order in plan.orders {
-            let relay = self.relays.choose(now, share, &order.what);
+            let relay = self.relays.choose(now, share, &order.kind);
             match relay {
                 Some(relay) => self
                     .relays
@@ -514,7 +514,7 @@
             return;
         };
         let id = order.id;
-        let (metrics, what) = (Arc::clone(&self.ports.metrics), order.what.clone());
+        let (metrics, what) = (Arc::clone(&self.ports.metrics), order.kind.clone());
         let answer = (self.ports.perform)(order);
         tokio::spawn(async move {
             let started_at = Instant::now();
--- a/src/manager/handlers.rs
+++ b/src/manager/handlers.rs
@@ -161,7 +161,7 @@
     /// When to retry a job that the leader doesn't accept now; `None` if it is accepted.
     fn retry_after(&self, submission: &Submission) -> Option<Duration> {
         let scheduler = self.scheduler.as_ref()?;
-        scheduler.comeback(self.now(), &self.ledger, submission, self.submissions.len())
+        scheduler.retry_after(self.now(), &self.ledger, submission, self.submissions.len())
     }
 
     fn cancel(&mut self, reply_to: ReplyTo, job: u64, caller: Option<&WorkspaceSpec>) {
--- a/src/manager/metrics.rs
+++ b/src/manager/metrics.rs
@@ -17,7 +17,7 @@
 };
 
 use super::request::{Refused, Reply, Unknown};
-use crate::core::workload::scheduler::{Answer, Refusal, What};
+use crate::core::workload::scheduler::{Answer, OrderKind, Refusal};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
@@ -278,7 +278,7 @@
     }
 
     /// Counts the answer to an order and records how long it took.
-    pub fn record_answer(&self, what: &What, answer: &Answer, took: Duration) {
+    pub fn record_answer(&self, what: &OrderKind, answer: &Answer, took: Duration) {
         let (order, outcome) = (order_label(what), answer_label(answer));
         let label = OrderLabels { order, outcome };
         self.orders.get_or_create(&label).inc();
@@ -362,16 +362,16 @@
 }
 
 /// The label of an order in metrics and logs.
-pub fn order_label(what: &What) -> &'static str {
+pub fn order_label(what: &OrderKind) -> &'static str {
     match what {
-        What::Start(_) => "start",
-        What::Stop { .. } => "stop",
-        What::Renew { .. } => "renew",
-        What::Throttle { .. } => "throttle",
-        What::Ask { .. } => "ask",
-        What::Hosts => "hosts",
-        What::Move { .. } => "move",
-        What::Maintain { .. } => "maintain",
+        OrderKind::Start(_) => "start",
+        OrderKind::Stop { .. } => "stop",
+        OrderKind::Renew { .. } => "renew",
+        OrderKind::Throttle { .. } => "throttle",
+        OrderKind::Ask { .. } => "ask",
+        OrderKind::Hosts => "hosts",
+        OrderKind::Move { .. } => "move",
+        OrderKind::Maintain { .. } => "maintain",
     }
 }
 
@@ -379,7 +379,7 @@
 pub fn answer_label(answer: &Answer) -> &'static str {
     match answer {
         Answer::Done { .. } | Answer::Report(_) | Answer::Hosts(_) | Answer::Eligible(_) => "done",
-        Answer::Reborn => "reborn",
+        Answer::Restarted => "reborn",
         Answer::Elsewhere => "elsewhere",
         Answer::Silent => "silent",
         Answer::Refused { why, .. } => match why {
--- a/src/manager/relays.rs
+++ b/src/manager/relays.rs
@@ -62,7 +62,7 @@
 
 use crate::core::{
     types::{DataCentreId, Map, NodeId, Now, Set},
-    workload::scheduler::{Order, OrderId, What},
+    workload::scheduler::{Order, OrderId, OrderKind},
 };
 
 /// Added to the time limit of an exchange with an agent, for both ways through the mesh and a turn
@@ -128,7 +128,7 @@
     /// Returns the relay for an order. Returns `None` if the leader should execute it: the order
     /// isn't to an agent, the agent isn't in the `share` of agents that relays serve, or no relay
     /// is trusted or reaches the agent.
-    pub fn choose(&self, now: Now, share: f64, what: &What) -> Option<NodeId> {
+    pub fn choose(&self, now: Now, share: f64, what: &OrderKind) -> Option<NodeId> {
         let to = what.target()?;
         let bucket = bucket(to.address);
         if f64::from(bucket) >= share * f64::from(BUCKETS) || self.unreached.contains(&to.address) {
@@ -148,10 +148,10 @@
     /// Assigns an order to a relay. `exchange` is the time limit of the relay's exchange with the
     /// agent.
     pub fn assign(&mut self, now: Now, relay: NodeId, exchange: Duration, order: Order) {
-        let Some(address) = order.what.target().map(|to| to.address) else {
+        let Some(address) = order.kind.target().map(|to| to.address) else {
             return;
         };
-        let due = now + order.what.wait() + exchange + MESH_ALLOWANCE;
+        let due = now + order.kind.wait() + exchange + MESH_ALLOWANCE;
         self.deadlines.insert((due, order.id));
         self.in_flight.insert(
             order.id,
@@ -190,7 +190,7 @@
 
     /// Records that the leader executes an order to an agent that its relay doesn't reach.
     pub fn record_direct(&mut self, order: &Order) {
-        let to = order.what.target().map(|to| to.address);
+        let to = order.kind.target().map(|to| to.address);
         if let Some(to) = to.filter(|to| self.unreached.contains(to)) {
             self.direct.insert(order.id, to);
         }
