--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -222,7 +222,7 @@
         // Failures of the earlier incarnation to answer say nothing about the one that runs now.
         agent.failing_since = Some(now);
         agent.silent_since.get_or_insert(now);
-        agent.extend_lease(now, &self.settings);
+        agent.extend_lease_for_successor(now, &self.settings);
         let unsettled = agent.slots.values_mut().filter(|slot| slot.is_unsettled());
         let mut count = 0;
         for slot in unsettled {
@@ -304,7 +304,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.extend_lease(now, &self.settings);
+        agent.extend_lease_for_successor(now, &self.settings);
         for slot in agent.slots.values_mut() {
             if matches!(slot.phase, Phase::Stopping(_) | Phase::Stopped) {
                 slot.tries = 0;
@@ -423,7 +423,7 @@
 impl Agent {
     /// Extends the lease for orders of this incarnation that the next one may carry out: with the
     /// longest lease by the next one's clock, and later if an order got no answer.
-    fn extend_lease(&mut self, now: Now, settings: &Settings) {
+    fn extend_lease_for_successor(&mut self, now: Now, settings: &Settings) {
         let unanswered = self.slots.values().filter_map(|slot| slot.unanswered).max();
         let astray = unanswered.map(|sent| sent + MAX_ORDER_TRANSIT + settings.lease);
         let lease = inherited_lease(now, settings);
