--- a/src/core/workload/scheduler/balance.rs
+++ b/src/core/workload/scheduler/balance.rs
@@ -125,7 +125,12 @@
     pub(super) fn host_counts(&self) -> HostCounts {
         let mut have: HostCounts = BTreeMap::new();
         for (host, view) in &self.hosts.views {
-            let pool = match self.hosts.operations.get(host).map(|duty| &duty.purpose) {
+            let pool = match self
+                .hosts
+                .operations
+                .get(host)
+                .map(|operation| &operation.purpose)
+            {
                 Some(Purpose::Move(pool)) => pool,
                 // It is of no use until its maintenance is over.
                 Some(Purpose::Maintain(_)) => continue,
--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -138,10 +138,11 @@
                 agent.unseen = true;
                 // Its host may have been listed, and chosen for an operation, before the agent's
                 // first heartbeat.
-                for duty in self.hosts.operations.values_mut() {
-                    let chosen = duty.agent.is_none() && duty.name.as_ref() == Some(record.name());
-                    if chosen && !matches!(duty.stage, Stage::Ordered(_) | Stage::Away) {
-                        duty.agent = Some(id.clone());
+                for operation in self.hosts.operations.values_mut() {
+                    let chosen =
+                        operation.agent.is_none() && operation.name.as_ref() == Some(record.name());
+                    if chosen && !matches!(operation.stage, Stage::Ordered(_) | Stage::Away) {
+                        operation.agent = Some(id.clone());
                         agent.cordoned = true;
                     }
                 }
--- a/src/core/workload/scheduler/hosts.rs
+++ b/src/core/workload/scheduler/hosts.rs
@@ -170,8 +170,8 @@
         let busy = doubted
             || !self.hosts.operations.is_empty()
             || ledger.waves().any(|wave| !wave.left.is_empty());
-        let mut duties = self.hosts.operations.values();
-        let away = duties.any(|duty| duty.stage == Stage::Away);
+        let mut operations = self.hosts.operations.values();
+        let away = operations.any(|operation| operation.stage == Stage::Away);
         // With this shorter pause a host that is back is noticed a third of a second after its
         // agent instead of up to 0.9 s.
         let pressing = self.hosts.agent_missing || (self.hosts.new_agent && away);
@@ -215,17 +215,17 @@
     /// has terminated, or the order did nothing and the agent goes on.
     fn settle_ordered(&mut self, now: Now, sent: Now) {
         let mut untouched = Vec::new();
-        for (host, duty) in &self.hosts.operations {
-            let Some(name) = &duty.name else {
+        for (host, operation) in &self.hosts.operations {
+            let Some(name) = &operation.name else {
                 continue;
             };
-            if duty.stage != Stage::Away || sent < duty.since {
+            if operation.stage != Stage::Away || sent < operation.since {
                 continue;
             }
             let view = self.hosts.views.get(host);
-            if self.hosts.is_terminated(Some(host), name, duty.since) {
-                self.terminated.extend(duty.agent.clone());
-            } else if sent >= duty.since + SETTLE_DELAY
+            if self.hosts.is_terminated(Some(host), name, operation.since) {
+                self.terminated.extend(operation.agent.clone());
+            } else if sent >= operation.since + SETTLE_DELAY
                 && view.is_some_and(|view| view.state == HostState::Up)
             {
                 untouched.push(host.clone());
@@ -264,30 +264,31 @@
         };
         let Hosts {
             views,
-            operations: duties,
+            operations,
             presence,
             ..
         } = &self.hosts;
         let mut over = Vec::new();
-        for (host, duty) in duties {
-            let is_over = match (views.get(host), duty.stage) {
+        for (host, operation) in operations {
+            let is_over = match (views.get(host), operation.stage) {
                 (Some(view), Stage::Away) => {
                     // The host may be back with an agent of the same name, as another incarnation.
                     let there = view.agent.as_ref().and_then(|name| self.agents.named(name));
                     let there = there.map(|agent| &agent.record.id);
-                    let other = view.agent != duty.name
+                    let other = view.agent != operation.name
                         || view.agent.is_none()
-                        || there != duty.agent.as_ref();
-                    let settled = listed >= duty.since + SETTLE_DELAY;
+                        || there != operation.agent.as_ref();
+                    let settled = listed >= operation.since + SETTLE_DELAY;
                     settled && view.state == HostState::Up && other
                 }
-                (None, Stage::Away) => presence.is_gone(host, duty.since + SETTLE_DELAY),
+                (None, Stage::Away) => presence.is_gone(host, operation.since + SETTLE_DELAY),
                 // The answer to the order shows its result.
                 (_, Stage::Ordered(_)) => false,
-                (Some(view), _) => listed >= duty.since && view.state == HostState::Down,
+                (Some(view), _) => listed >= operation.since && view.state == HostState::Down,
                 // For a host of a wave that isn't there, the refusal of its order shows that.
                 (None, _) => {
-                    matches!(duty.purpose, Purpose::Move(_)) && presence.is_gone(host, duty.since)
+                    matches!(operation.purpose, Purpose::Move(_))
+                        && presence.is_gone(host, operation.since)
                 }
             };
             if is_over {
@@ -311,11 +312,11 @@
     }
 
     pub(super) fn end_operation(&mut self, now: Now, host: &HostId) {
-        let Some(duty) = self.hosts.operations.remove(host) else {
+        let Some(operation) = self.hosts.operations.remove(host) else {
             return;
         };
-        log::info!(host:%, what:? = duty.purpose, took:? = now.saturating_sub(duty.since); "an operation on a host has ended");
-        if let Some(agent) = duty.agent.and_then(|id| self.agents.get_mut(&id)) {
+        log::info!(host:%, what:? = operation.purpose, took:? = now.saturating_sub(operation.since); "an operation on a host has ended");
+        if let Some(agent) = operation.agent.and_then(|id| self.agents.get_mut(&id)) {
             agent.cordoned = false;
             agent.ending = false;
         }
@@ -336,28 +337,28 @@
             Purpose::Move(_) if empty => Stage::Due,
             Purpose::Move(_) | Purpose::Maintain(_) => Stage::Emptying,
         };
-        let duty = Operation {
+        let operation = Operation {
             purpose: what,
             stage,
             since: now,
             name,
             agent,
         };
-        self.hosts.operations.insert(host.clone(), duty);
+        self.hosts.operations.insert(host.clone(), operation);
     }
 
     pub(super) fn send_host_orders(&mut self, now: Now) {
         let due = self.hosts.operations.iter();
-        let due = due.filter(|(_, duty)| duty.stage == Stage::Recorded);
+        let due = due.filter(|(_, operation)| operation.stage == Stage::Recorded);
         let due: Vec<_> = due
-            .map(|(host, duty)| (host.clone(), duty.purpose.clone()))
+            .map(|(host, operation)| (host.clone(), operation.purpose.clone()))
             .collect();
         for (host, what) in due {
             let agent = self
                 .hosts
                 .operations
                 .get(&host)
-                .and_then(|duty| duty.agent.as_ref());
+                .and_then(|operation| operation.agent.as_ref());
             let agent = agent.and_then(|id| self.agents.get(id));
             let ends = agent.map_or(0, |agent| agent.slots.len());
             let id = agent.map_or("", |agent| &*agent.record.id);
@@ -373,9 +374,9 @@
                 },
             };
             let order = self.send_order(now, About::Operation(host.clone()), order);
-            if let Some(duty) = self.hosts.operations.get_mut(&host) {
-                duty.stage = Stage::Ordered(order);
-                duty.since = now;
+            if let Some(operation) = self.hosts.operations.get_mut(&host) {
+                operation.stage = Stage::Ordered(order);
+                operation.since = now;
             }
         }
     }
@@ -416,19 +417,19 @@
         host: &HostId,
         answer: &Answer,
     ) {
-        let Some(duty) = self.hosts.operations.get_mut(host) else {
+        let Some(operation) = self.hosts.operations.get_mut(host) else {
             return;
         };
-        if duty.stage != Stage::Ordered(order) {
+        if operation.stage != Stage::Ordered(order) {
             return;
         }
-        let took = now.saturating_sub(duty.since);
+        let took = now.saturating_sub(operation.since);
         log::info!(order, host:%, answer:?, took:?; "an order about a host was answered");
         match answer {
             Answer::Done { .. } => {
-                duty.stage = Stage::Away;
-                duty.since = now;
-                if let Purpose::Maintain(wave) = duty.purpose {
+                operation.stage = Stage::Away;
+                operation.since = now;
+                if let Purpose::Maintain(wave) = operation.purpose {
                     self.maintained.push((wave, host.clone()));
                 }
                 self.end_ordered_agent(host);
@@ -440,11 +441,11 @@
                 why: Refusal::Throttled,
                 ..
             } => {
-                duty.stage = Stage::Due;
-                duty.since = now + HOST_RETRY_DELAY;
+                operation.stage = Stage::Due;
+                operation.since = now + HOST_RETRY_DELAY;
             }
             _ => {
-                log::info!(host:%, what:? = duty.purpose, answer:?; "an order about a host was refused");
+                log::info!(host:%, what:? = operation.purpose, answer:?; "an order about a host was refused");
                 self.hosts.refused_at.insert(host.clone(), now);
                 if let (
                     Purpose::Maintain(wave),
@@ -452,7 +453,7 @@
                         why: Refusal::NotInWave | Refusal::Invalid,
                         ..
                     },
-                ) = (&duty.purpose, answer)
+                ) = (&operation.purpose, answer)
                 {
                     self.maintained.push((*wave, host.clone()));
                 }
--- a/src/core/workload/scheduler/vacating.rs
+++ b/src/core/workload/scheduler/vacating.rs
@@ -51,20 +51,20 @@
         have: &mut HostCounts,
     ) {
         let mut kept = Vec::new();
-        for (host, duty) in &mut self.hosts.operations {
-            let Purpose::Move(to) = &duty.purpose else {
+        for (host, operation) in &mut self.hosts.operations {
+            let Purpose::Move(to) = &operation.purpose else {
                 continue;
             };
-            if duty.stage != Stage::Emptying {
+            if operation.stage != Stage::Emptying {
                 continue;
             }
-            let agent = duty.agent.as_ref().and_then(|id| self.agents.get(id));
+            let agent = operation.agent.as_ref().and_then(|id| self.agents.get(id));
             let need = needs.get(to).map_or(0, |need| need.now);
             let count = have.entry(to.clone()).or_default();
             if agent.is_none_or(|agent| agent.slots.is_empty()) {
-                duty.stage = Stage::Due;
-                duty.since = now;
-            } else if *count > need || now >= duty.since + EMPTYING_TIMEOUT {
+                operation.stage = Stage::Due;
+                operation.since = now;
+            } else if *count > need || now >= operation.since + EMPTYING_TIMEOUT {
                 *count -= 1;
                 kept.push(host.clone());
             }
--- a/src/core/workload/scheduler/waves.rs
+++ b/src/core/workload/scheduler/waves.rs
@@ -114,7 +114,7 @@
         since: Now,
         left: Duration,
     ) {
-        let mine = |duty: &&Operation| duty.purpose == Purpose::Maintain(wave.wave);
+        let mine = |operation: &&Operation| operation.purpose == Purpose::Maintain(wave.wave);
         let mut under = self.hosts.operations.values().filter(mine).count();
         let most = cap.saturating_mul(2);
         let needed = hosts_needed(wave.left.len(), left);
@@ -188,9 +188,9 @@
 
     /// The number of hosts that are down for a wave, or may be.
     fn hosts_away(&self, now: Now, wave: &WaveRecord) -> usize {
-        let duties = self.hosts.operations.iter();
-        let own = duties.filter(|(_, duty)| {
-            duty.purpose == Purpose::Maintain(wave.wave) && duty.stage != Stage::Emptying
+        let operations = self.hosts.operations.iter();
+        let own = operations.filter(|(_, operation)| {
+            operation.purpose == Purpose::Maintain(wave.wave) && operation.stage != Stage::Emptying
         });
         // An earlier leader may have ordered the maintenance of others, a moment ago or earlier.
         let held = wave.left.iter();
@@ -212,12 +212,12 @@
         room: usize,
         late: bool,
     ) {
-        let duties = self.hosts.operations.iter();
-        let emptying = duties.filter(|(_, duty)| {
-            duty.purpose == Purpose::Maintain(wave) && duty.stage == Stage::Emptying
+        let operations = self.hosts.operations.iter();
+        let emptying = operations.filter(|(_, operation)| {
+            operation.purpose == Purpose::Maintain(wave) && operation.stage == Stage::Emptying
         });
         let emptying: Vec<_> = emptying
-            .map(|(host, duty)| (host.clone(), duty.agent.clone()))
+            .map(|(host, operation)| (host.clone(), operation.agent.clone()))
             .collect();
         let mut room = room;
         for (host, id) in emptying {
@@ -236,9 +236,9 @@
                 // What the agent runs counts as away from here on.
                 agent.ending = true;
             }
-            if let Some(duty) = self.hosts.operations.get_mut(&host) {
-                duty.stage = Stage::Due;
-                duty.since = now;
+            if let Some(operation) = self.hosts.operations.get_mut(&host) {
+                operation.stage = Stage::Due;
+                operation.since = now;
             }
         }
     }
@@ -287,8 +287,10 @@
     /// Stops long-running tasks at cordoned agents, as far as the budgets of their steps allow.
     pub(super) fn stop_long_running(&mut self, now: Now, ledger: &Ledger) {
         let emptying = self.hosts.operations.values();
-        let emptying = emptying.filter(|duty| duty.stage == Stage::Emptying);
-        let agents: Vec<_> = emptying.filter_map(|duty| duty.agent.clone()).collect();
+        let emptying = emptying.filter(|operation| operation.stage == Stage::Emptying);
+        let agents: Vec<_> = emptying
+            .filter_map(|operation| operation.agent.clone())
+            .collect();
         for id in agents {
             let Some(agent) = self.agents.get(&id) else {
                 continue;
