--- a/src/manager/relays.rs
+++ b/src/manager/relays.rs
@@ -26,7 +26,7 @@
 //! use egretpin::{
 //!     core::workload::{
 //!         job::TaskId,
-//!         scheduler::{Target, What},
+//!         scheduler::{OrderKind, Target},
 //!     },
 //!     manager::relays::Relays,
 //! };
@@ -35,7 +35,7 @@
 //! let east = (1, "east".into());
 //! relays.set(vec![east, (2, "west".into())]);
 //! let now = Duration::from_secs(1);
-//! let what = What::Stop {
+//! let what = OrderKind::Stop {
 //!     to: Target {
 //!         agent: "a".into(),
 //!         address: ([10, 0, 0, 7], 80).into(),
