--- a/src/core/workload/scheduler/balance.rs
+++ b/src/core/workload/scheduler/balance.rs
@@ -167,7 +167,7 @@
         let host = &view.host;
         view.state == HostState::Up
             && !self.hosts.operations.contains_key(host)
-            && !self.touching.is_held(now, host)
+            && !self.intents.is_held(now, host)
             && !self.was_refused(now, host)
             && self.catalog.has_pool(&view.pool)
     }
--- a/src/core/workload/scheduler/changes.rs
+++ b/src/core/workload/scheduler/changes.rs
@@ -267,7 +267,7 @@
             match slot.phase {
                 Phase::Stopping(_) => return ReplacedOutcome::Unsettled,
                 Phase::Stopped => {
-                    since = since.max(Some(slot.phase_since + self.settings.max_stop))
+                    since = since.max(Some(slot.phase_since + self.settings.max_stop));
                 }
                 _ => {}
             }
--- a/src/core/workload/scheduler/host_intents.rs
+++ b/src/core/workload/scheduler/host_intents.rs
@@ -99,7 +99,7 @@
                 continue;
             }
             let due = duty.stage == Stage::Due && now >= duty.since;
-            if due && !self.touching.is_held(now, host) {
+            if due && !self.intents.is_held(now, host) {
                 if !self.settings.protections.intents {
                     duty.stage = Stage::Recorded;
                     continue;
@@ -112,7 +112,7 @@
             last_stamp,
             stamp_until,
             ..
-        } = &mut self.touching;
+        } = &mut self.intents;
         if !hosts.is_empty() {
             *stamp_until = now + self.settings.handover_delay + MAX_ORDER_DELAY + STAMP_INTERVAL;
         }
--- a/src/core/workload/scheduler/hosts.rs
+++ b/src/core/workload/scheduler/hosts.rs
@@ -127,7 +127,7 @@
     /// Decides what is done with the hosts.
     pub(super) fn manage_hosts(&mut self, now: Now, wall: Wall, ledger: &Ledger) {
         self.query_hosts(now, ledger);
-        if self.hosts.listed_at.is_none() || self.touching.is_blind(now) {
+        if self.hosts.listed_at.is_none() || self.intents.is_blind(now) {
             return;
         }
         if now >= self.hosts.checked_at + OPERATION_CHECK_DELAY {
@@ -406,7 +406,7 @@
         };
         // A host that is already in its target pool isn't moved.
         let before = match what {
-            Purpose::Maintain(_) => self.touching.is_inherited(host),
+            Purpose::Maintain(_) => self.intents.is_inherited(host),
             Purpose::Move(_) => false,
         };
         match self.agents.get_mut(&id) {
--- a/src/core/workload/scheduler/jobs.rs
+++ b/src/core/workload/scheduler/jobs.rs
@@ -172,7 +172,7 @@
             return;
         };
         if let Some(accepted) = accepted {
-            self.departures.record(now, &job.queue);
+            self.completions.record(now, &job.queue);
             let (took, objective) = (now.saturating_sub(accepted), self.objective(job));
             log::info!(job:% = format_args!("{id:016x}"), queue:% = job.queue, state:? = job.state, took:?, objective:?, steps = job.spec.steps.len(); "a job is over");
         }
--- a/src/core/workload/scheduler/poison_queues.rs
+++ b/src/core/workload/scheduler/poison_queues.rs
@@ -140,7 +140,7 @@
         let live = live.filter(|other| other.queue == *queue && !other.has_ended());
         let live = live.filter(|other| other.spec.steps.iter().all(|step| !step.long_running));
         let before = u32::try_from(live.count() + more).unwrap_or(u32::MAX);
-        let over = self.departures.count_ends(now, queue).max(1);
+        let over = self.completions.count_ends(now, queue).max(1);
         let wait = COMPLETION_WINDOW * before / u32::try_from(over).unwrap_or(u32::MAX);
         let job = Job::new(queue.clone(), pool.clone(), spec.clone(), *accepted);
         wait.checked_sub(self.objective(&job) * MAX_DELAY_FACTOR)
--- a/src/core/workload/scheduler/waves.rs
+++ b/src/core/workload/scheduler/waves.rs
@@ -198,7 +198,7 @@
         });
         // An earlier leader may have ordered the maintenance of others, a moment ago or earlier.
         let held = wave.remaining.iter();
-        let held = held.filter(|host| self.touching.is_held(now, host));
+        let held = held.filter(|host| self.intents.is_held(now, host));
         let views = self.hosts.views.iter();
         let down = views.filter(|(_, view)| view.state == HostState::Maintained);
         let all = own.map(|(host, _)| host);
@@ -232,7 +232,7 @@
             });
             // Nothing at the host is disturbed until an order may go out: its tasks go on, and
             // which other tasks of their steps are away is determined then.
-            if room == 0 || !ready || self.touching.is_held(now, &host) {
+            if room == 0 || !ready || self.intents.is_held(now, &host) {
                 continue;
             }
             room -= 1;
@@ -277,7 +277,7 @@
             let agent = other.agent.as_ref().and_then(|id| self.agents.get(id));
             // The agent's host may be about to get an order, or may have got one from an earlier
             // leader. About an agent that doesn't answer nothing is known.
-            let held = |host| self.touching.is_held(now, host);
+            let held = |host| self.intents.is_held(now, host);
             let agent = agent.filter(|agent| {
                 !agent.evicting
                     && agent.failing_since.is_none()
