--- a/src/manager/metrics.rs
+++ b/src/manager/metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics of control and entry nodes.
 //!
-//! The reply counters of [`OUTCOMES`] exist from the start, at zero, so that a rate covers the
+//! The reply counters of `OUTCOMES` exist from the start, at zero, so that a rate covers the
 //! first event, too. Label values come from the enums that decide, never from free text.
 
 use std::{fmt, sync::atomic::AtomicU64, time::Duration};
