--- a/tests/workload/acquitted.rs
+++ b/tests/workload/acquitted.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{OTHER, QUEUE, SECOND, World, lasting, ms, step};
+use crate::world::{OTHER_POOL, OTHER_QUEUE, QUEUE, World, long_running, ms, step};
 
 /// The seeds that every run plays.
 const SEEDS: RangeInclusive<u64> = 0..=5;
@@ -91,9 +91,9 @@
 impl Play {
     fn new(seed: u64, shape: Shape) -> Self {
         let mut world = World::new(shape.hosts, seed);
-        world.resets = shape.resets;
-        world.keeps = if shape.keeps { 1.0 } else { 0.0 };
-        world.away = ms(2000);
+        world.reset_connections = shape.resets;
+        world.id_reuse = if shape.keeps { 1.0 } else { 0.0 };
+        world.down_time = ms(2000);
         let mut play = Self {
             world,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xacc),
@@ -103,25 +103,25 @@
             ends: Vec::new(),
         };
         for _ in 0..shape.hosts {
-            play.add(OTHER);
+            play.add(OTHER_POOL);
         }
         let tasks = u32::try_from(shape.hosts).unwrap();
-        for (job, queue) in (LASTING..).zip([QUEUE, SECOND, QUEUE, SECOND]) {
-            let spec = JobSpec::new("x", vec![lasting(tasks, 1)]);
+        for (job, queue) in (LASTING..).zip([QUEUE, OTHER_QUEUE, QUEUE, OTHER_QUEUE]) {
+            let spec = JobSpec::new("x", vec![long_running(tasks, 1)]);
             play.world.submit_to(queue, job, spec);
         }
         play
     }
 
     fn add(&mut self, pool: &str) {
-        self.world.host(&format!("h{}", self.hosts), pool);
+        self.world.add_host(&format!("h{}", self.hosts), pool);
         self.hosts += 1;
     }
 
     /// Jobs in the step of time that comes, as many as the load asks.
     fn submit(&mut self, span: Duration) {
         let room = (self.shape.hosts * 8) as f64 * LOAD;
-        for queue in [QUEUE, SECOND] {
+        for queue in [QUEUE, OTHER_QUEUE] {
             let mut left = room * span.as_secs_f64();
             while left > 0.0 {
                 let tasks = self.rng.random_range(3..9);
@@ -144,7 +144,7 @@
 
     /// Chooses the hosts that end now, or from now on.
     fn strike(&mut self) {
-        let pool = (self.shape.ending == Ending::InOnePool).then_some(OTHER);
+        let pool = (self.shape.ending == Ending::InOnePool).then_some(OTHER_POOL);
         let views = self.world.hosts.iter();
         let there = views.filter(|(_, view)| pool.is_none_or(|pool| &*view.pool == pool));
         let mut hosts: Vec<_> = there.map(|(host, _)| host.to_string()).collect();
@@ -169,7 +169,7 @@
         let due: Vec<(Duration, String)> = due;
         for (_, host) in due {
             let host = host.as_str().into();
-            let Some(agent) = self.world.living(&host) else {
+            let Some(agent) = self.world.incarnation_at(&host) else {
                 continue;
             };
             if self.shape.ending != Ending::Replaced {
@@ -332,7 +332,7 @@
 #[test]
 fn an_attempt_that_never_began_proves_nothing_to_a_later_leader() {
     let mut world = World::new(4, 1);
-    world.resets = true;
+    world.reset_connections = true;
     world.pass(ms(3000));
     world.submit(1, JobSpec::new("x", vec![step(1, 2, 5000)]));
     world.until("it runs", ms(500), |world| world.runs(1).len() == 1);
--- a/tests/workload/budgets.rs
+++ b/tests/workload/budgets.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{World, lasting, ms};
+use crate::world::{World, long_running, ms};
 
 /// The number of simulated worlds for each set of protections.
 const SEEDS: u64 = 40;
@@ -20,10 +20,10 @@
 /// Ten hosts, and a step of six long-running tasks with a disruption budget of two.
 fn world(seed: u64, protections: Protections) -> World {
     let mut world = World::new(HOSTS.len(), seed);
-    world.stopping = ms(900);
+    world.stop_time = ms(900);
     world.protections = protections;
     world.lead();
-    let mut step = lasting(6, 2);
+    let mut step = long_running(6, 2);
     step.disruption_budget = 2;
     world.submit(1, JobSpec::new("x", vec![step]));
     world.until("it runs", ms(3000), |world| world.runs(1).len() == 6);
@@ -39,7 +39,7 @@
     let mut waves = (1..).zip(hosts);
     for _ in 0..30 {
         if let Some((wave, host)) = waves.next() {
-            world.wave(wave, &[host], 1, ms(6_000));
+            world.start_wave(wave, &[host], 1, ms(6_000));
         }
         let before = stops(&world);
         for _ in 0..rng.random_range(5..400) {
@@ -74,19 +74,19 @@
 fn a_budget_spent_by_a_failed_leader_is_not_spent_again() {
     let mut world = world(7, Protections::default());
     let hosts: Vec<_> = (0..3).map(|task| host_of(&world, task)).collect();
-    world.wave(1, &[&hosts[0]], 1, ms(6_000));
+    world.start_wave(1, &[&hosts[0]], 1, ms(6_000));
     world.until("one is stopped", ms(3000), |world| stops(world) == 1);
     world.pass(ms(400));
-    world.wave(2, &[&hosts[1]], 1, ms(6_000));
+    world.start_wave(2, &[&hosts[1]], 1, ms(6_000));
     world.until("and another", ms(3000), |world| stops(world) == 2);
-    world.wave(3, &[&hosts[2]], 1, ms(6_000));
+    world.start_wave(3, &[&hosts[2]], 1, ms(6_000));
     // The orders have arrived, and neither stop is complete.
     world.pass(ms(15));
     world.depose();
     world.pass(ms(200));
     world.lead();
     world.pass(ms(2000));
-    assert_eq!(world.overdrawn, [], "more than two tasks were down");
+    assert_eq!(world.over_budget, [], "more than two tasks were down");
 }
 
 #[test]
@@ -94,7 +94,7 @@
     let mut count = 0;
     for seed in 0..SEEDS {
         let world = play(seed, Protections::default());
-        assert_eq!(world.overdrawn, [], "seed {seed}");
+        assert_eq!(world.over_budget, [], "seed {seed}");
         count += stops(&world);
     }
     assert!(count > 200, "only {count} stops; too few for the test");
@@ -107,7 +107,7 @@
             inherited_stops: false,
             ..Protections::default()
         };
-        !play(*seed, protections).overdrawn.is_empty()
+        !play(*seed, protections).over_budget.is_empty()
     });
     let broken = broken.count();
     assert!(
@@ -118,14 +118,16 @@
 
 #[test]
 fn work_throttled_by_a_failed_leader_resumes() {
-    let mut world = World::with_filling(10);
-    world.harm = 1000.0;
-    world.until("it is throttled", ms(4000), |world| world.tail() < 50.0);
+    let mut world = World::with_best_effort(10);
+    world.interference = 1000.0;
+    world.until("it is throttled", ms(4000), |world| {
+        world.tail_latency() < 50.0
+    });
     world.depose();
-    world.harm = 1.0;
+    world.interference = 1.0;
     world.pass(ms(200));
     world.lead();
     world.until("it has its full speed again", ms(10_000), |world| {
-        world.tail() > 10.9
+        world.tail_latency() > 10.9
     });
 }
--- a/tests/workload/cancelled.rs
+++ b/tests/workload/cancelled.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{Faults, POOL, World, lasting, ms, step};
+use crate::world::{Faults, POOL, World, long_running, ms, step};
 
 /// Seeds that are played.
 const SEEDS: u64 = 200;
@@ -33,7 +33,7 @@
 
 fn job(rng: &mut Pcg64Mcg) -> JobSpec {
     if rng.random_bool(0.5) {
-        return JobSpec::new("x", vec![lasting(rng.random_range(1..4), 1)]);
+        return JobSpec::new("x", vec![long_running(rng.random_range(1..4), 1)]);
     }
     let tasks = rng.random_range(1..6);
     let cores = rng.random_range(1..3);
@@ -51,7 +51,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x00ca_9ce1);
     let mut world = World::with_lease(8, seed, ms(10_000));
     world.protections = without;
-    world.lax = trouble.burials;
+    world.relaxed_checks = trouble.burials;
     world.lead();
     for phase in 0..PHASES {
         if trouble.still {
@@ -90,7 +90,7 @@
         }
         1 | 2 if trouble.cuts => {
             let agent = any(rng, world);
-            world.cut(&agent, ms(rng.random_range(500..16_000)));
+            world.disconnect(&agent, ms(rng.random_range(500..16_000)));
         }
         3 if trouble.burials => {
             let agent = any(rng, world);
@@ -100,7 +100,7 @@
             let agent = any(rng, world);
             world.crash(&agent);
             let host = 100 + world.hosts.len();
-            world.host(&format!("h{host}"), POOL);
+            world.add_host(&format!("h{host}"), POOL);
             if trouble.still {
                 world.unlisted.insert(format!("h{host}").into());
             }
@@ -123,8 +123,8 @@
 
 fn late() -> Faults {
     Faults {
-        late: 0.2,
-        unwell: 0.05,
+        late_orders: 0.2,
+        unwell_refusals: 0.05,
         ..Faults::default()
     }
 }
@@ -146,7 +146,7 @@
 fn nor_when_late_leases_count_from_when_they_come() {
     play_all(Trouble {
         faults: Faults {
-            lenient: true,
+            lease_from_arrival: true,
             ..late()
         },
         ..Trouble::default()
@@ -175,8 +175,8 @@
 fn nor_when_leaders_change_beside_agents_that_are_cut_off() {
     play_all(Trouble {
         faults: Faults {
-            lenient: true,
-            lost: 0.05,
+            lease_from_arrival: true,
+            lost_answers: 0.05,
             ..late()
         },
         takeovers: true,
@@ -198,9 +198,9 @@
 fn nor_when_all_of_it_comes_at_once() {
     play_all(Trouble {
         faults: Faults {
-            lost: 0.05,
-            failing: 0.03,
-            off: 2.0,
+            lost_answers: 0.05,
+            failed_attempts: 0.03,
+            estimate_error: 2.0,
             ..late()
         },
         takeovers: true,
@@ -240,7 +240,7 @@
 #[test]
 fn what_ran_through_a_wrong_burial_is_stopped_when_its_job_is_cancelled() {
     let mut world = World::with_lease(3, 1, ms(10_000));
-    world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(1, 2)]));
     world.until("it runs", ms(2000), |world| world.runs(1).len() == 1);
     let (agent, _) = world.runs(1).remove(0);
     world.propose(Command::Terminated(agent));
--- a/tests/workload/caps.rs
+++ b/tests/workload/caps.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     faults::{ALL, play_beside},
-    world::{OTHER, POOL, World, lasting, ms, step},
+    world::{OTHER_POOL, POOL, World, long_running, ms, step},
 };
 
 const OWNER: &str = "greenhouse";
@@ -20,8 +20,8 @@
 /// A world whose jobs belong to a workspace with a cap of `cores` cores.
 fn capped(hosts: usize, seed: u64, cores: u64) -> World {
     let mut world = World::new(hosts, seed);
-    world.owner = Some(OWNER.into());
-    world.cap(OWNER, cores);
+    world.workspace = Some(OWNER.into());
+    world.set_cap(OWNER, cores);
     world
 }
 
@@ -37,11 +37,11 @@
     let mut most = 0;
     while !completed(&world, 1) {
         world.pass(ms(5));
-        most = most.max(world.running(OWNER));
+        most = most.max(world.running_millicores(OWNER));
         // Three parts of 1.3 times the estimate each, with the time for commits, orders and polls.
         assert!(world.now < ms(1000 + 3 * 390 + 3 * 150), "{:?}", world.now);
     }
-    assert_eq!((most, world.beyond), (4000, 0));
+    assert_eq!((most, world.cap_excess), (4000, 0));
 }
 
 /// Guards against a task that exceeds the cap by itself waiting forever.
@@ -50,7 +50,7 @@
     let mut world = capped(4, 2, 2);
     world.submit(1, JobSpec::new("x", vec![step(3, 4, 300)]));
     world.until("all have run", ms(3000), |world| {
-        assert!(world.running(OWNER) <= 4000);
+        assert!(world.running_millicores(OWNER) <= 4000);
         completed(world, 1)
     });
 }
@@ -70,14 +70,14 @@
         assert!([0, 4].contains(&world.runs(2).len()) || completed(world, 1));
         completed(world, 2)
     });
-    assert_eq!(world.beyond, 0);
+    assert_eq!(world.cap_excess, 0);
     // A gang that can never run within the cap waits, and delays no other job.
     let mut gang = step(12, 1, 300);
     gang.gang = true;
     world.submit(3, JobSpec::new("x", vec![gang]));
     world.submit(4, JobSpec::new("x", vec![step(2, 1, 300)]));
     world.until("another is done", ms(1500), |world| completed(world, 4));
-    assert_eq!((world.runs(3).len(), world.beyond), (0, 0));
+    assert_eq!((world.runs(3).len(), world.cap_excess), (0, 0));
 }
 
 /// Guards against tasks that wait for the cap of one workspace delaying those of another.
@@ -88,12 +88,12 @@
         world.submit(job, JobSpec::new("x", vec![step(4, 1, 1000)]));
     }
     world.pass(ms(1000));
-    world.owner = Some(NEIGHBOUR.into());
+    world.workspace = Some(NEIGHBOUR.into());
     world.submit(100, JobSpec::new("x", vec![step(20, 1, 500)]));
     world.until("the other's job is done", ms(900), |world| {
         completed(world, 100)
     });
-    assert_eq!(world.beyond, 0);
+    assert_eq!(world.cap_excess, 0);
 }
 
 /// Guards against stopping running tasks when a cap is lowered, and against starting more beside them.
@@ -102,7 +102,7 @@
     let mut world = capped(4, 5, 12);
     world.submit(1, JobSpec::new("x", vec![step(12, 1, 2000)]));
     world.until("it runs", ms(500), |world| world.runs(1).len() == 12);
-    world.cap(OWNER, 3);
+    world.set_cap(OWNER, 3);
     world.submit(2, JobSpec::new("x", vec![step(6, 1, 300)]));
     let mut least = 12_000;
     while !completed(&world, 1) {
@@ -112,11 +112,11 @@
             second == 0 || first + second <= 3,
             "{first} and {second} run"
         );
-        least = least.min(world.running(OWNER));
+        least = least.min(world.running_millicores(OWNER));
     }
     assert_eq!(world.sent.get("stop"), None);
     world.until("the rest is done", ms(3000), |world| completed(world, 2));
-    world.cap(OWNER, 0);
+    world.set_cap(OWNER, 0);
     world.submit(3, JobSpec::new("x", vec![step(24, 1, 500)]));
     world.until("without a cap all run", ms(500), |world| {
         world.runs(3).len() == 24
@@ -128,7 +128,7 @@
 fn tasks_that_wait_for_a_cap_move_no_host() {
     let mut world = capped(2, 6, 8);
     for host in 10..18 {
-        world.host(&format!("h{host}"), OTHER);
+        world.add_host(&format!("h{host}"), OTHER_POOL);
     }
     world.pass(ms(1500));
     for job in 1..=20 {
@@ -146,18 +146,21 @@
 fn long_running_tasks_run_up_to_the_cap() {
     // One host more than tasks that may run, so that one of them can be moved there.
     let mut world = capped(4, 7, 3);
-    world.submit(1, JobSpec::new("x", vec![lasting(10, 1)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(10, 1)]));
     for host in 10..20 {
-        world.host(&format!("h{host}"), OTHER);
+        world.add_host(&format!("h{host}"), OTHER_POOL);
     }
     world.pass(ms(4000));
-    assert_eq!((world.runs(1).len(), world.beyond, world.moves), (3, 0, 0));
+    assert_eq!(
+        (world.runs(1).len(), world.cap_excess, world.moves),
+        (3, 0, 0)
+    );
     world.propose(Command::Cancel(1));
-    world.submit(2, JobSpec::new("x", vec![lasting(3, 1)]));
+    world.submit(2, JobSpec::new("x", vec![long_running(3, 1)]));
     world.until("the stopped tasks free the cap", ms(2500), |world| {
         world.runs(2).len() == 3
     });
-    assert_eq!(world.beyond, 0);
+    assert_eq!(world.cap_excess, 0);
 }
 
 /// Simulates failures of every kind while a cap changes, and returns by how much the cap was exceeded.
@@ -165,15 +168,15 @@
     let mut world = capped(6, seed, 12);
     world.protections = protections;
     // An attempt that is abandoned too early runs twice at once. Here the check of the cap has to detect it.
-    world.lax = !protections.inherit;
+    world.relaxed_checks = !protections.inherit;
     world.lead();
     let change = |world: &mut World, job: u64| {
         if job.is_multiple_of(4) {
             let caps = [12, 5, 20, 9];
-            world.cap(OWNER, caps[usize::try_from(job / 4).unwrap() % caps.len()]);
+            world.set_cap(OWNER, caps[usize::try_from(job / 4).unwrap() % caps.len()]);
         }
     };
-    play_beside(world, seed, ALL, true, change).beyond
+    play_beside(world, seed, ALL, true, change).cap_excess
 }
 
 /// A cap holds through changes of the leader, late orders, partitions and lost answers.
--- a/tests/workload/deadly.rs
+++ b/tests/workload/deadly.rs
@@ -22,7 +22,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{GUIDED, MOST_HOSTS, SPARE, World, lasting, ms, step};
+use crate::world::{MAX_LOST_HOSTS, RESTRICTED_QUEUE, SPARE_POOL, World, long_running, ms, step};
 
 /// The job that lasts.
 const LASTING: u64 = 1000;
@@ -106,14 +106,14 @@
 fn play(seed: u64, most: u32, beside: Beside) -> Innocent {
     const JOBS: u64 = 120;
     let mut world = World::new(beside.hosts, seed);
-    world.resets = true;
-    world.delays = beside.delays;
-    world.most = most;
+    world.reset_connections = true;
+    world.poison_delays = beside.delays;
+    world.max_kills = most;
     for spare in 100..108 {
-        world.host(&format!("h{spare}"), SPARE);
+        world.add_host(&format!("h{spare}"), SPARE_POOL);
     }
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xdead);
-    world.submit(LASTING, JobSpec::new("x", vec![lasting(4, 1)]));
+    world.submit(LASTING, JobSpec::new("x", vec![long_running(4, 1)]));
     world.pass(ms(2000));
     let mut due = BTreeMap::new();
     let mut innocent = Innocent::default();
@@ -123,7 +123,7 @@
         world.submit(job, JobSpec::new("x", vec![step(tasks, 2, work)]));
         if rng.random_bool(beside.share) {
             // Where none is deadly those are left out as well, so that the same jobs are compared.
-            world.deadly.insert(job, 1);
+            world.poison_tasks.insert(job, 1);
         } else {
             due.insert(job, world.now + beside.objective());
         }
@@ -151,21 +151,24 @@
         }
     }
     // What a deadly task may cost, its wait for a host each time, and until nobody is suspected any more.
-    let end = world.now + ms(45_000) + (beside.delays.1 + beside.work) * (2 * MOST_HOSTS);
+    let end = world.now + ms(45_000) + (beside.delays.1 + beside.work) * (2 * MAX_LOST_HOSTS);
     while world.now < end {
         world.pass(ms(10));
         settle(&world, &mut due, &mut innocent);
     }
     let mut faults = Vec::new();
-    let over = world.killed.values().filter(|hosts| **hosts > MOST_HOSTS);
-    let (over, of) = (over.count(), world.killed.len());
+    let over = world
+        .hosts_killed
+        .values()
+        .filter(|hosts| **hosts > MAX_LOST_HOSTS);
+    let (over, of) = (over.count(), world.hosts_killed.len());
     if over > 0 {
-        let most = world.killed.values().max();
+        let most = world.hosts_killed.values().max();
         faults.push(format!(
-            "{over} of {of} deadly tasks cost over {MOST_HOSTS} hosts, one {most:?}"
+            "{over} of {of} deadly tasks cost over {MAX_LOST_HOSTS} hosts, one {most:?}"
         ));
     }
-    for job in world.deadly.keys() {
+    for job in world.poison_tasks.keys() {
         // What was proposed when a leader ended may not have been accepted.
         let state = world.state(*job);
         if most == u32::MAX && !matches!(state, Some(JobState::Failed) | None) {
@@ -174,7 +177,7 @@
     }
     for (id, job) in world.ledger.jobs() {
         // Those that end no host are like any other.
-        let deadly = most > 0 && world.deadly.contains_key(&id);
+        let deadly = most > 0 && world.poison_tasks.contains_key(&id);
         if !deadly && id != LASTING && job.state != JobState::Completed {
             faults.push(format!("job {id} is {:?}", job.state));
         }
@@ -196,7 +199,7 @@
 
 /// Has a host end, if it is up, and come back.
 fn end(world: &mut World, host: &str) {
-    if let Some(agent) = world.living(&host.into()) {
+    if let Some(agent) = world.incarnation_at(&host.into()) {
         world.restart(&agent);
     }
 }
@@ -320,14 +323,19 @@
 /// at work for so long before.
 fn play_lasting(before: Duration) -> u32 {
     let mut world = World::new(8, 3);
-    world.deadly.insert(1, 1);
-    world.submit(2, JobSpec::new("x", vec![lasting(4, 2)]));
+    world.poison_tasks.insert(1, 1);
+    world.submit(2, JobSpec::new("x", vec![long_running(4, 2)]));
     world.pass(before);
-    world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(1, 2)]));
     world.until("it is convicted", ms(30_000), |world| {
         world.state(1) == Some(JobState::Failed)
     });
-    let hosts = world.killed.values().copied().max().unwrap_or_default();
+    let hosts = world
+        .hosts_killed
+        .values()
+        .copied()
+        .max()
+        .unwrap_or_default();
     world.pass(ms(3000));
     assert_eq!(world.runs(2).len(), 4);
     assert_eq!(world.state(2), Some(JobState::Running));
@@ -337,8 +345,8 @@
 #[test]
 fn a_lasting_task_that_ends_its_hosts_is_convicted_and_its_neighbours_go_on() {
     // Four hosts at work for seconds don't show how often such hosts end.
-    assert!(play_lasting(Duration::ZERO) <= MOST_HOSTS + 2);
-    assert!(play_lasting(ms(60_000)) <= MOST_HOSTS);
+    assert!(play_lasting(Duration::ZERO) <= MAX_LOST_HOSTS + 2);
+    assert!(play_lasting(ms(60_000)) <= MAX_LOST_HOSTS);
 }
 
 #[test]
@@ -346,8 +354,8 @@
     for seed in 0..FEW_SEEDS {
         let mut world = World::new(6, seed);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
-        world.submit(2, JobSpec::new("x", vec![lasting(6, 1)]));
+        world.submit(1, JobSpec::new("x", vec![long_running(1, 2)]));
+        world.submit(2, JobSpec::new("x", vec![long_running(6, 1)]));
         let mut ends = 0;
         while ends < 8 {
             world.pass(ms(1200));
@@ -372,20 +380,29 @@
     let mut world = World::new(8, 5);
     world.protections.suspicion = false;
     world.lead();
-    world.deadly.insert(1, 1);
+    world.poison_tasks.insert(1, 1);
     world.submit(1, JobSpec::new("x", vec![step(1, 2, 500)]));
     world.pass(ms(20_000));
-    assert!(world.killed.values().all(|hosts| *hosts > MOST_HOSTS));
+    assert!(
+        world
+            .hosts_killed
+            .values()
+            .all(|hosts| *hosts > MAX_LOST_HOSTS)
+    );
     assert_eq!(world.state(1), Some(JobState::Running));
 }
 
 #[test]
 fn a_suspect_whose_hosts_must_be_asked_for_is_tried_where_it_may_run() {
     let mut world = World::new(8, 6);
-    world.resets = true;
-    world.deadly.insert(1, 1);
+    world.reset_connections = true;
+    world.poison_tasks.insert(1, 1);
     for job in 1..=6 {
-        world.submit_to(GUIDED, job, JobSpec::new("x", vec![step(2, 2, 500)]));
+        world.submit_to(
+            RESTRICTED_QUEUE,
+            job,
+            JobSpec::new("x", vec![step(2, 2, 500)]),
+        );
     }
     world.until("all are over", ms(20_000), |world| {
         (2..=6).all(|job| world.state(job) == Some(JobState::Completed))
--- a/tests/workload/faults.rs
+++ b/tests/workload/faults.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{Faults, POOL, World, lasting, ms, step};
+use crate::world::{Faults, POOL, World, long_running, ms, step};
 
 /// Seeds that are played. Each plays a minute of trouble and one of calm.
 const SEEDS: u64 = 24;
@@ -27,13 +27,13 @@
 
 /// All that goes wrong, at once.
 pub(crate) const ALL: Faults = Faults {
-    lost: 0.05,
-    late: 0.03,
-    lenient: false,
-    failing: 0.03,
-    unwell: 0.03,
-    off: 2.0,
-    ghosts: 0.5,
+    lost_answers: 0.05,
+    late_orders: 0.03,
+    lease_from_arrival: false,
+    failed_attempts: 0.03,
+    unwell_refusals: 0.03,
+    estimate_error: 2.0,
+    late_heartbeats: 0.5,
 };
 
 /// Trouble of every kind at once, drawn by the seed.
@@ -50,7 +50,7 @@
     beside: impl Fn(&mut World, u64),
 ) -> World {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed);
-    world.submit(1000, JobSpec::new("x", vec![lasting(3, 1)]));
+    world.submit(1000, JobSpec::new("x", vec![long_running(3, 1)]));
     world.pass(ms(200));
     world.faults = faults;
     for job_id in 1..=30 {
@@ -67,15 +67,15 @@
             1 if agents.len() > 3 => {
                 world.crash(&agents[rng.random_range(0..agents.len())]);
                 let host = format!("h{}", 100 + job_id);
-                world.host(&host, POOL);
+                world.add_host(&host, POOL);
             }
             2 if !agents.is_empty() => {
                 let agent = &agents[rng.random_range(0..agents.len())];
-                world.cut(agent, ms(rng.random_range(500..9000)));
+                world.disconnect(agent, ms(rng.random_range(500..9000)));
             }
             // Some of the cut ones crash behind their cut.
-            3 | 4 if faults.ghosts > 0.0 && !agents.is_empty() => {
-                world.reboot(&agents[rng.random_range(0..agents.len())]);
+            3 | 4 if faults.late_heartbeats > 0.0 && !agents.is_empty() => {
+                world.restart_agent(&agents[rng.random_range(0..agents.len())]);
             }
             _ => {}
         }
@@ -93,7 +93,7 @@
 #[test]
 fn lost_answers_start_nothing_twice() {
     let faults = Faults {
-        lost: 0.1,
+        lost_answers: 0.1,
         ..Faults::default()
     };
     (0..SEEDS).for_each(|seed| drop(play(World::new(6, seed), seed, faults, false)));
@@ -102,9 +102,9 @@
 #[test]
 fn orders_that_are_carried_out_late_start_nothing_twice() {
     let faults = Faults {
-        late: 0.05,
-        failing: 0.05,
-        unwell: 0.05,
+        late_orders: 0.05,
+        failed_attempts: 0.05,
+        unwell_refusals: 0.05,
         ..Faults::default()
     };
     (0..SEEDS).for_each(|seed| drop(play(World::new(6, seed), seed, faults, false)));
@@ -118,7 +118,7 @@
 #[test]
 fn late_heartbeats_of_ended_incarnations_start_nothing_twice() {
     let faults = Faults {
-        ghosts: 0.8,
+        late_heartbeats: 0.8,
         ..Faults::default()
     };
     (0..SEEDS).for_each(|seed| drop(play(World::new(6, seed), seed, faults, false)));
@@ -159,8 +159,8 @@
         ..Protections::default()
     };
     let faults = Faults {
-        late: 0.2,
-        unwell: 0.2,
+        late_orders: 0.2,
+        unwell_refusals: 0.2,
         ..Faults::default()
     };
     assert!(is_noticed(without, faults, false));
@@ -187,7 +187,7 @@
 #[test]
 fn a_cancelled_job_is_stopped_by_the_next_leader_too() {
     let mut world = World::new(3, 6);
-    world.submit(1, JobSpec::new("x", vec![lasting(3, 2)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(3, 2)]));
     world.until("it runs", ms(2000), |world| world.runs(1).len() == 3);
     world.propose(Command::Cancel(1));
     world.until("it is cancelled", ms(100), |world| {
--- a/tests/workload/hosts.rs
+++ b/tests/workload/hosts.rs
@@ -2,19 +2,21 @@
 
 use egretpin::core::workload::{job::JobState, spec::JobSpec};
 
-use crate::world::{OTHER, POOL, QUEUE, SECOND, SPARE, World, lasting, ms, step};
+use crate::world::{
+    OTHER_POOL, OTHER_QUEUE, POOL, QUEUE, SPARE_POOL, World, long_running, ms, step,
+};
 
 #[test]
 fn a_wave_maintains_every_host_within_its_cap() {
     let mut world = World::new(6, 1);
-    world.wave(1, &["h0", "h1", "h2", "h3", "h4", "h5"], 2, ms(30_000));
+    world.start_wave(1, &["h0", "h1", "h2", "h3", "h4", "h5"], 2, ms(30_000));
     world.until("the wave is through", ms(30_000), |world| {
         world
             .ledger
             .wave_record(1)
             .is_some_and(|wave| wave.remaining.is_empty())
     });
-    assert_eq!(world.peak, 2, "as many at once as may be");
+    assert_eq!(world.peak_down, 2, "as many at once as may be");
 }
 
 const HOSTS: [&str; 8] = ["h0", "h1", "h2", "h3", "h4", "h5", "h6", "h7"];
@@ -36,9 +38,9 @@
 #[test]
 fn a_wave_ends_no_more_tasks_of_a_step_than_may_be_away() {
     let mut world = World::new(8, 2);
-    world.submit(1, JobSpec::new("x", vec![lasting(5, 2)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(5, 2)]));
     world.until("it runs", ms(2000), |world| world.runs(1).len() == 5);
-    world.wave(1, &HOSTS, 4, ms(12_000));
+    world.start_wave(1, &HOSTS, 4, ms(12_000));
     keep_budget(&mut world);
 }
 
@@ -50,7 +52,7 @@
         world.submit(job, JobSpec::new("x", vec![step(4, 4, 2000)]));
     }
     world.pass(ms(2000));
-    world.wave(1, &HOSTS, 8, ms(80_000));
+    world.start_wave(1, &HOSTS, 8, ms(80_000));
     let most = |world: &World| {
         let up = world.agents.values().filter(|agent| agent.is_busy());
         up.count()
@@ -72,7 +74,7 @@
 #[test]
 fn a_host_of_a_wave_that_is_gone_is_not_waited_for() {
     let mut world = World::new(2, 3);
-    world.wave(1, &["h0", "nowhere"], 1, ms(30_000));
+    world.start_wave(1, &["h0", "nowhere"], 1, ms(30_000));
     world.until("the wave is through", ms(10_000), |world| {
         world
             .ledger
@@ -85,7 +87,7 @@
 fn a_pool_that_has_too_much_work_gets_hosts_of_others() {
     let mut world = World::new(2, 4);
     for host in ["h10", "h11", "h12", "h13"] {
-        world.host(host, OTHER);
+        world.add_host(host, OTHER_POOL);
     }
     world.pass(ms(1500));
     for job in 1..=10 {
@@ -97,7 +99,7 @@
     };
     world.until("hosts have moved", ms(3000), |world| pool(world) >= 4);
     assert!(
-        world.hosts.values().any(|host| &*host.pool == OTHER),
+        world.hosts.values().any(|host| &*host.pool == OTHER_POOL),
         "a pool is never given up"
     );
 }
@@ -114,17 +116,17 @@
     let mut world = World::new(8, 6);
     world.pass(ms(2000));
     for turn in 0..3 {
-        let queue = if turn % 2 == 0 { QUEUE } else { SECOND };
+        let queue = if turn % 2 == 0 { QUEUE } else { OTHER_QUEUE };
         rush(&mut world, queue, 1 + turn * 100);
         world.pass(ms(10_000));
     }
     // The fourth turn is the second queue's, and would begin now.
     let hosts = world.hosts.values();
-    let there = hosts.filter(|host| &*host.pool == OTHER).count();
+    let there = hosts.filter(|host| &*host.pool == OTHER_POOL).count();
     assert!(there >= 4, "{there} hosts are there");
     world.pass(ms(4000));
     let hosts = world.hosts.values();
-    let there = hosts.filter(|host| &*host.pool == OTHER).count();
+    let there = hosts.filter(|host| &*host.pool == OTHER_POOL).count();
     assert!(there <= 4, "none is moved on for a turn that didn't come");
 }
 
@@ -133,7 +135,7 @@
     let mut world = World::new(8, 6);
     world.pass(ms(2000));
     for turn in 0..3 {
-        let queue = if turn % 2 == 0 { QUEUE } else { SECOND };
+        let queue = if turn % 2 == 0 { QUEUE } else { OTHER_QUEUE };
         rush(&mut world, queue, 1 + turn * 100);
         world.pass(ms(10_000));
     }
@@ -149,10 +151,10 @@
 #[test]
 fn lasting_work_is_no_turn() {
     let mut world = World::new(8, 7);
-    world.submit(1, JobSpec::new("x", vec![lasting(2, 8)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(2, 8)]));
     world.pass(ms(8000));
     let hosts = world.hosts.values();
-    let spares = hosts.filter(|host| &*host.pool == SPARE).count();
+    let spares = hosts.filter(|host| &*host.pool == SPARE_POOL).count();
     assert_eq!(
         spares, 0,
         "nothing is known yet of work that comes and goes"
@@ -163,7 +165,7 @@
 fn idle_hosts_are_kept_while_a_rush_begins() {
     let mut world = World::new(2, 9);
     for host in 10..24 {
-        world.host(&format!("h{host}"), OTHER);
+        world.add_host(&format!("h{host}"), OTHER_POOL);
     }
     world.pass(ms(6000));
     // The first jobs are a turn, but take no more than their pool has.
@@ -172,7 +174,7 @@
     }
     world.pass(ms(500));
     let hosts = world.hosts.values();
-    let spares = hosts.filter(|host| &*host.pool == SPARE).count();
+    let spares = hosts.filter(|host| &*host.pool == SPARE_POOL).count();
     assert_eq!(spares, 0, "what is idle elsewhere is needed next");
     rush(&mut world, QUEUE, 11);
     world.pass(ms(500));
@@ -186,7 +188,7 @@
     let mut world = World::new(5, 5);
     let spares = |world: &World| {
         let hosts = world.hosts.values();
-        hosts.filter(|host| &*host.pool == SPARE).count()
+        hosts.filter(|host| &*host.pool == SPARE_POOL).count()
     };
     world.pass(ms(6000));
     assert_eq!(spares(&world), 0, "nothing is known of the demand yet");
@@ -208,9 +210,9 @@
         let mut world = World::new(8, 2);
         world.protections.budget = false;
         world.lead();
-        world.submit(1, JobSpec::new("x", vec![lasting(5, 2)]));
+        world.submit(1, JobSpec::new("x", vec![long_running(5, 2)]));
         world.until("it runs", ms(2000), |world| world.runs(1).len() == 5);
-        world.wave(1, &HOSTS, 4, ms(12_000));
+        world.start_wave(1, &HOSTS, 4, ms(12_000));
         keep_budget(&mut world);
     });
     assert!(played.is_err(), "two tasks of a step are away at once");
@@ -221,8 +223,8 @@
 #[test]
 fn a_maintenance_that_was_done_before_ends_nothing() {
     let mut world = World::new(4, 1);
-    world.holder = ms(3000);
-    world.wave(1, &["h0"], 1, ms(9000));
+    world.handover_delay = ms(3000);
+    world.start_wave(1, &["h0"], 1, ms(9000));
     world.until("it is maintained", ms(5000), |world| {
         !world.maintained.is_empty()
     });
--- a/tests/workload/incarnations.rs
+++ b/tests/workload/incarnations.rs
@@ -22,11 +22,11 @@
         let mut world = World::new(1, 1);
         world.pass(ms(100));
         let former = world.agents.values().next().unwrap().record.clone();
-        let successor = world.reboot(&former.id).unwrap();
+        let successor = world.restart_agent(&former.id).unwrap();
         world.submit(1, JobSpec::new("x", vec![step(1, 1, 25_000)]));
         world.until("it runs", ms(1000), |world| world.runs(1).len() == 1);
         assert_eq!(world.runs(1)[0].0, successor);
-        world.host("h9", crate::world::POOL);
+        world.add_host("h9", crate::world::POOL);
         Self {
             world,
             former,
@@ -42,7 +42,7 @@
             successor,
         } = self;
         let before = world.sent["start"];
-        world.late_beat(id, &former, delay);
+        world.late_heartbeat(id, &former, delay);
         world.pass(delay + ms(1000));
         assert!(
             world.ledger.agent(&successor).is_some(),
@@ -94,8 +94,8 @@
     let mut case = Succeeded::new();
     let world = &mut case.world;
     let before = world.sent["start"];
-    world.cut(&case.successor, ms(3000));
-    world.late_beat(&"unheard".into(), &case.former, ms(50));
+    world.disconnect(&case.successor, ms(3000));
+    world.late_heartbeat(&"unheard".into(), &case.former, ms(50));
     // A job more than the other host has room for; the claimant would have it.
     world.submit(2, JobSpec::new("x", vec![step(2, 8, 500)]));
     world.pass(ms(2500));
@@ -117,7 +117,7 @@
     world.submit(1, JobSpec::new("x", vec![step(1, 1, 5000)]));
     world.until("it runs", ms(1000), |world| world.runs(1).len() == 1);
     let (agent, _) = world.runs(1)[0].clone();
-    let next = world.reboot(&agent).unwrap();
+    let next = world.restart_agent(&agent).unwrap();
     // Three commits, a look and a start, in steps of 5 ms.
     world.until("it runs again", ms(60), |world| world.runs(1).len() == 1);
     assert_eq!(world.runs(1)[0].0, next);
--- a/tests/workload/intents.rs
+++ b/tests/workload/intents.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{OTHER, POOL, QUEUE, SECOND, World, lasting, ms, step};
+use crate::world::{OTHER_POOL, OTHER_QUEUE, POOL, QUEUE, World, long_running, ms, step};
 
 /// The number of simulated worlds for each set of protections.
 const SEEDS: u64 = 40;
@@ -42,20 +42,20 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut world = World::new(4, seed);
     for host in 10..16 {
-        world.host(&format!("h{host}"), OTHER);
+        world.add_host(&format!("h{host}"), OTHER_POOL);
     }
-    world.holder = ms(3000);
+    world.handover_delay = ms(3000);
     world.protections = protections;
     world.lead();
     world.pass(ms(3500));
     for turn in 0..6 {
-        let queue = if turn % 2 == 0 { QUEUE } else { SECOND };
+        let queue = if turn % 2 == 0 { QUEUE } else { OTHER_QUEUE };
         for job in 0..8 {
             let spec = JobSpec::new("x", vec![step(4, 4, rng.random_range(500..2000))]);
             world.submit_to(queue, 1 + turn * 100 + job, spec);
         }
         if turn == 2 {
-            world.wave(1, &["h0", "h1", "h10", "h11"], 2, ms(20_000));
+            world.start_wave(1, &["h0", "h1", "h10", "h11"], 2, ms(20_000));
         }
         world.pass(ms(rng.random_range(50..2500)));
         world.depose();
@@ -97,9 +97,9 @@
     for seed in 0..16 {
         let mut world = World::new(2, seed);
         for host in 10..14 {
-            world.host(&format!("h{host}"), OTHER);
+            world.add_host(&format!("h{host}"), OTHER_POOL);
         }
-        world.holder = ms(3000);
+        world.handover_delay = ms(3000);
         world.lead();
         world.pass(ms(4000));
         for job in 1..=6 {
@@ -108,15 +108,17 @@
         world.until("hosts are moved", ms(1000), |world| world.moves >= 2);
         world.depose();
         world.pass(ms(1900));
-        world.wave(1, &["h11", "h12", "h13"], 6, ms(8_000));
+        world.start_wave(1, &["h11", "h12", "h13"], 6, ms(8_000));
         let agents: Vec<_> = world.agents.keys().cloned().collect();
-        agents.iter().for_each(|agent| world.cut(agent, ms(50)));
+        agents
+            .iter()
+            .for_each(|agent| world.disconnect(agent, ms(50)));
         world.lead();
         for job in 100..112 {
-            world.submit(job, JobSpec::new("x", vec![lasting(3, 1)]));
+            world.submit(job, JobSpec::new("x", vec![long_running(3, 1)]));
         }
         world.pass(ms(3800));
-        assert_eq!(world.ended, 0, "seed {seed}");
+        assert_eq!(world.interrupted_runs, 0, "seed {seed}");
     }
 }
 
@@ -124,9 +126,9 @@
 fn a_new_leader_moves_hosts_without_recent_orders_at_once() {
     let mut world = World::new(2, 4);
     for host in 10..16 {
-        world.host(&format!("h{host}"), OTHER);
+        world.add_host(&format!("h{host}"), OTHER_POOL);
     }
-    world.holder = ms(3000);
+    world.handover_delay = ms(3000);
     world.lead();
     world.pass(ms(4000));
     world.depose();
--- a/tests/workload/leaving.rs
+++ b/tests/workload/leaving.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     faults::{ALL, play_beside},
-    world::{Faults, POOL, World, lasting, ms, step},
+    world::{Faults, POOL, World, long_running, ms, step},
 };
 
 /// Worlds that are played of each kind.
@@ -33,13 +33,13 @@
     let mut world = World::new(1, 1);
     world.pass(ms(200));
     let agent = only(&world);
-    world.deafen(&agent, ms(3500));
+    world.block_orders(&agent, ms(3500));
     world.submit(1, one_task());
     world.pass(ms(100));
     world.drain(&agent);
     world.pass(ms(10_000));
     assert!(world.starts.is_empty(), "nothing begins there");
-    world.host("h9", POOL);
+    world.add_host("h9", POOL);
     world.until("it runs elsewhere", ms(15_000), |world| {
         !world.starts.is_empty()
     });
@@ -50,7 +50,7 @@
     let mut world = World::new(1, seed);
     world.pass(ms(200));
     let agent = only(&world);
-    world.stalled = world.now + ms(5000);
+    world.stalled_until = world.now + ms(5000);
     world.submit(1, one_task());
     world.pass(ms(100));
     before(&mut world);
@@ -87,7 +87,7 @@
         leaving: true,
         ..before
     };
-    world.late_beat(&agent, &older, ms(5));
+    world.late_heartbeat(&agent, &older, ms(5));
     world.pass(ms(100));
 }
 
@@ -98,7 +98,7 @@
     let mut world = World::new(6, seed);
     world.protections = protections;
     world.lead();
-    world.submit(1000, JobSpec::new("x", vec![lasting(3, 1)]));
+    world.submit(1000, JobSpec::new("x", vec![long_running(3, 1)]));
     world.pass(ms(1000));
     world.faults = faults;
     let mut hosts = 6;
@@ -108,12 +108,12 @@
         let agents: Vec<_> = world.agents.keys().cloned().collect();
         for agent in &agents {
             if rng.random_bool(0.2) {
-                world.deafen(agent, ms(rng.random_range(200..6000)));
+                world.block_orders(agent, ms(rng.random_range(200..6000)));
             }
         }
         if rng.random_bool(0.4) {
             let span = ms(rng.random_range(200..9000));
-            world.stalled = world.stalled.max(world.now + span);
+            world.stalled_until = world.stalled_until.max(world.now + span);
         }
         world.pass(ms(rng.random_range(0..400)));
         let leaving = agents.iter().filter(|agent| {
@@ -123,7 +123,7 @@
         let leaving: Vec<_> = leaving.filter(|_| rng.random_bool(0.2)).cloned().collect();
         for agent in leaving {
             world.drain(&agent);
-            world.host(&format!("h{hosts}"), POOL);
+            world.add_host(&format!("h{hosts}"), POOL);
             hosts += 1;
         }
         world.pass(ms(rng.random_range(0..1000)));
@@ -149,7 +149,7 @@
             if job % 5 == 0 {
                 let agent = only(world);
                 world.drain(&agent);
-                world.host(&format!("h{}", 200 + job), POOL);
+                world.add_host(&format!("h{}", 200 + job), POOL);
             }
         });
     });
--- a/tests/workload/lists.rs
+++ b/tests/workload/lists.rs
@@ -8,7 +8,7 @@
     workload::{command::Command, job::TaskId, ledger::Ledger, spec::JobSpec},
 };
 
-use crate::world::{POOL, World, lasting, ms};
+use crate::world::{POOL, World, long_running, ms};
 
 fn is_through(ledger: &Ledger) -> bool {
     ledger
@@ -36,9 +36,9 @@
         world.sent["hosts"] > lists
     });
     world.pass(ms(50));
-    world.host("h8", POOL);
-    world.host("h9", POOL);
-    world.wave(1, &["h0", "h8", "h9"], 3, ms(20_000));
+    world.add_host("h8", POOL);
+    world.add_host("h9", POOL);
+    world.start_wave(1, &["h0", "h8", "h9"], 3, ms(20_000));
     maintains(&mut world, &["h0", "h8", "h9"]);
 }
 
@@ -47,7 +47,7 @@
     let mut world = World::new(4, 2);
     world.pass(ms(2000));
     world.unlisted.insert("h1".into());
-    world.wave(1, &["h0", "h1", "h2"], 1, ms(20_000));
+    world.start_wave(1, &["h0", "h1", "h2"], 1, ms(20_000));
     let lists = world.sent["hosts"];
     world.until("a list without it is read", ms(6000), |world| {
         world.sent["hosts"] > lists
@@ -63,7 +63,7 @@
     world.pass(ms(2000));
     // It is there, whatever the lists say: only the order shows it.
     world.unlisted.insert("h1".into());
-    world.wave(1, &["h1", "nowhere"], 1, ms(20_000));
+    world.start_wave(1, &["h1", "nowhere"], 1, ms(20_000));
     maintains(&mut world, &["h1"]);
 }
 
@@ -71,7 +71,7 @@
 fn a_wave_ends_for_a_host_that_was_removed_after_few_orders() {
     let mut world = World::new(3, 3);
     world.pass(ms(2000));
-    world.wave(1, &["h0", "h1"], 1, ms(20_000));
+    world.start_wave(1, &["h0", "h1"], 1, ms(20_000));
     let agent = world.hosts[&HostId::from("h1")].agent.clone().unwrap();
     world.crash(&agent);
     world.hosts.remove("h1");
@@ -85,12 +85,12 @@
 fn work_at_a_silent_agent_that_one_list_lacks_is_not_started_again() {
     for seed in 0..8 {
         let mut world = World::new(4, seed);
-        world.submit(1, JobSpec::new("x", vec![lasting(2, 2)]));
+        world.submit(1, JobSpec::new("x", vec![long_running(2, 2)]));
         world.until("it runs", ms(2000), |world| world.runs(1).len() == 2);
         world.pass(ms(1000));
         let (agent, task) = world.runs(1)[0].clone();
         let host = world.agents[&agent].host.clone();
-        world.cut(&agent, ms(4000));
+        world.disconnect(&agent, ms(4000));
         world.until("its silence is noticed", ms(3000), |world| {
             world
                 .scheduler
@@ -113,7 +113,7 @@
 #[test]
 fn work_of_a_host_that_is_gone_is_started_again_after_two_lists() {
     let mut world = World::new(4, 3);
-    world.submit(1, JobSpec::new("x", vec![lasting(2, 2)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(2, 2)]));
     world.until("it runs", ms(2000), |world| world.runs(1).len() == 2);
     world.pass(ms(1000));
     let (agent, task) = world.runs(1)[0].clone();
@@ -128,7 +128,7 @@
 #[test]
 fn a_wave_is_committed_as_maintained_once_for_each_host() {
     let mut world = World::new(2, 4);
-    world.wave(1, &["h0", "nowhere"], 1, ms(20_000));
+    world.start_wave(1, &["h0", "nowhere"], 1, ms(20_000));
     let mut commands = 0;
     let mut last = 0;
     world.until("the wave is through", ms(20_000), |world| {
--- a/tests/workload/overload.rs
+++ b/tests/workload/overload.rs
@@ -19,7 +19,7 @@
 /// What the leader's processor takes, as measured with 350 agents where it was full.
 const PROCESSOR: Processor = Processor {
     input: Duration::from_micros(25),
-    look: Duration::from_nanos(45),
+    visit: Duration::from_nanos(45),
     order: Duration::from_micros(100),
 };
 /// How long a job of the rush may take: what its queue asks, and a look.
@@ -39,9 +39,9 @@
         busy.count() * 10 >= hosts * 9
     });
     world.pass(ms(500));
-    (world.looks, world.turns) = (0, 0);
+    (world.visits, world.plans) = (0, 0);
     world.pass(ms(2000));
-    world.looks / world.turns
+    world.visits / world.plans
 }
 
 /// Looks for each turn of a leader that has so many jobs waiting that fit nowhere.
@@ -52,9 +52,9 @@
         world.submit(job, JobSpec::new("x", vec![step(TASKS, 8, 60_000)]));
     }
     world.pass(ms(2000));
-    (world.looks, world.turns) = (0, 0);
+    (world.visits, world.plans) = (0, 0);
     world.pass(ms(1000));
-    world.looks / world.turns
+    world.visits / world.plans
 }
 
 /// What came of a rush.
@@ -147,13 +147,13 @@
 fn looks_of_a_start(hosts: usize) -> usize {
     let mut world = World::new(hosts, 4);
     world.pass(ms(2000));
-    world.looks = 0;
+    world.visits = 0;
     for job in 1..=100 {
         world.submit(job, JobSpec::new("x", vec![step(TASKS, 1, 400)]));
         world.pass(ms(10));
     }
     world.pass(ms(1000));
-    world.looks / world.sent["start"]
+    world.visits / world.sent["start"]
 }
 
 #[test]
--- a/tests/workload/promises.rs
+++ b/tests/workload/promises.rs
@@ -8,7 +8,7 @@
     spec::{JobSpec, Recurrence},
 };
 
-use crate::world::{RETENTION, World, lasting, ms, step};
+use crate::world::{RETENTION, World, long_running, ms, step};
 
 fn chain(steps: usize) -> JobSpec {
     let step = |ix: usize| {
@@ -63,7 +63,7 @@
 #[test]
 fn a_job_whose_task_fails_too_often_fails() {
     let mut world = World::new(4, 4);
-    world.faults.failing = 1.0;
+    world.faults.failed_attempts = 1.0;
     world.submit(1, JobSpec::new("x", vec![step(1, 1, 200)]));
     world.until("the job fails", ms(5000), |world| {
         world.state(1) == Some(JobState::Failed)
@@ -80,7 +80,7 @@
 #[test]
 fn what_lasts_is_started_again_however_often_its_agent_dies() {
     let mut world = World::new(3, 5);
-    world.submit(1, JobSpec::new("x", vec![lasting(1, 1)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(1, 1)]));
     for _ in 0..5 {
         // A look that waits for an end has to fail first, and then the provider to be asked.
         world.until("it runs", ms(3200), |world| world.runs(1).len() == 1);
@@ -89,7 +89,7 @@
         let (agent, _) = world.runs(1)[0].clone();
         world.crash(&agent);
         let host = format!("n{}", world.hosts.len());
-        world.host(&host, crate::world::POOL);
+        world.add_host(&host, crate::world::POOL);
     }
     world.until("it runs", ms(3200), |world| world.runs(1).len() == 1);
 }
@@ -97,7 +97,7 @@
 #[test]
 fn a_cancelled_job_is_stopped_at_once() {
     let mut world = World::new(3, 6);
-    world.submit(1, JobSpec::new("x", vec![lasting(3, 2)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(3, 2)]));
     world.until("it runs", ms(2000), |world| world.runs(1).len() == 3);
     world.propose(Command::Cancel(1));
     world.until("nothing of it runs", ms(700), |world| {
@@ -110,7 +110,7 @@
 #[test]
 fn tasks_of_a_step_stay_apart_where_it_asks_for_that() {
     let mut world = World::new(5, 7);
-    world.submit(1, JobSpec::new("x", vec![lasting(5, 1)]));
+    world.submit(1, JobSpec::new("x", vec![long_running(5, 1)]));
     world.until("it runs", ms(2000), |world| world.runs(1).len() == 5);
     let agents: BTreeSet<_> = world.runs(1).into_iter().map(|(agent, _)| agent).collect();
     assert_eq!(agents.len(), 5);
@@ -150,9 +150,9 @@
 #[test]
 fn best_effort_work_keeps_away_from_what_serves() {
     let mut world = World::new(4, 10);
-    let mut serving = lasting(2, 2);
+    let mut serving = long_running(2, 2);
     serving.tail_latency = Some(ms(50));
-    let mut filling = lasting(2, 2);
+    let mut filling = long_running(2, 2);
     filling.best_effort = true;
     world.submit(1, JobSpec::new("x", vec![serving]));
     world.until("it serves", ms(1000), |world| world.runs(1).len() == 2);
@@ -200,25 +200,27 @@
 
 #[test]
 fn best_effort_work_is_throttled_while_it_disturbs() {
-    let mut world = World::with_filling(10);
-    world.harm = 60.0;
+    let mut world = World::with_best_effort(10);
+    world.interference = 60.0;
     world.until("the tail is below its target", ms(4000), |world| {
-        world.tail() < 50.0
+        world.tail_latency() < 50.0
     });
     for _ in 0..80 {
         world.pass(ms(100));
-        assert!(world.tail() < 55.0, "{}", world.tail());
+        assert!(world.tail_latency() < 55.0, "{}", world.tail_latency());
     }
     assert!(
-        world.tail() > 25.0,
+        world.tail_latency() > 25.0,
         "much of the work goes on: {}",
-        world.tail()
+        world.tail_latency()
     );
-    world.harm = 1000.0;
-    world.until("it stands still", ms(4000), |world| world.tail() < 50.0);
-    world.harm = 1.0;
+    world.interference = 1000.0;
+    world.until("it stands still", ms(4000), |world| {
+        world.tail_latency() < 50.0
+    });
+    world.interference = 1.0;
     world.until("it has its full speed again", ms(10_000), |world| {
-        world.tail() > 10.9
+        world.tail_latency() > 10.9
     });
 }
 
@@ -233,7 +235,7 @@
 #[test]
 fn tasks_with_bad_estimates_are_left_to_run() {
     let mut world = World::new(4, 13);
-    world.faults.off = 8.0;
+    world.faults.estimate_error = 8.0;
     for job in 1..=40 {
         world.submit(job, JobSpec::new("x", vec![step(3, 1, 500)]));
         world.pass(ms(300));
@@ -250,7 +252,7 @@
     let mut world = World::new(4, 11);
     learn(&mut world);
     for agent in world.agents.values_mut().take(2) {
-        agent.slow = 1000.0;
+        agent.slowdown = 1000.0;
     }
     for job in 1..=4 {
         world.submit(job, chain(1));
@@ -265,11 +267,11 @@
 fn a_slow_agent_gets_less_than_the_others() {
     let mut world = World::new(4, 12);
     // Hosts that are never empty aren't moved, so that each agent's ends are those of one host.
-    world.submit(200, JobSpec::new("x", vec![lasting(4, 1)]));
+    world.submit(200, JobSpec::new("x", vec![long_running(4, 1)]));
     world.until("it runs", ms(1000), |world| world.runs(200).len() == 4);
     learn(&mut world);
     let slow = world.agents.keys().next_back().unwrap().clone();
-    world.agents.get_mut(&slow).unwrap().slow = 2.5;
+    world.agents.get_mut(&slow).unwrap().slowdown = 2.5;
     for job in 1..=20 {
         world.submit(job, JobSpec::new("x", vec![step(2, 2, 400)]));
         world.pass(ms(500));
--- a/tests/workload/reborn.rs
+++ b/tests/workload/reborn.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     faults::play,
-    world::{Faults, OTHER, POOL, World, ms, step},
+    world::{Faults, OTHER_POOL, POOL, World, ms, step},
 };
 
 /// Worlds that are played of each kind.
@@ -33,13 +33,13 @@
 #[test]
 fn what_an_agent_has_done_since_it_started_again_is_not_started_again() {
     let mut world = World::new(1, 1);
-    world.keeps = 1.0;
-    world.host("h9", POOL);
-    let agent = world.living(&"h9".into()).unwrap();
+    world.id_reuse = 1.0;
+    world.add_host("h9", POOL);
+    let agent = world.incarnation_at(&"h9".into()).unwrap();
     world.submit(1, JobSpec::new("x", vec![step(12, 1, 200)]));
     let done = |job| move |world: &World| world.state(job) == Some(JobState::Completed);
     world.until("the first life has ended tasks", ms(3000), done(1));
-    world.reboot(&agent);
+    world.restart_agent(&agent);
     world.submit(2, JobSpec::new("x", vec![step(12, 1, 200)]));
     world.until("the second one has", ms(9000), done(2));
     assert!(world.starts.values().all(|starts| *starts == 1));
@@ -51,7 +51,7 @@
     for seed in 0..SEEDS {
         for takeovers in [false, true] {
             let mut world = World::new(6, seed);
-            world.keeps = keeps;
+            world.id_reuse = keeps;
             play(world, seed, faults, takeovers);
         }
     }
@@ -61,7 +61,7 @@
 #[test]
 fn agents_that_start_again_under_their_ids_start_nothing_twice() {
     let faults = Faults {
-        ghosts: 0.5,
+        late_heartbeats: 0.5,
         ..Faults::default()
     };
     play_all(1.0, faults);
@@ -72,11 +72,11 @@
 #[test]
 fn agents_that_start_again_beside_lost_answers_start_nothing_twice() {
     let faults = Faults {
-        lost: 0.05,
-        failing: 0.03,
-        unwell: 0.03,
-        off: 2.0,
-        ghosts: 0.5,
+        lost_answers: 0.05,
+        failed_attempts: 0.03,
+        unwell_refusals: 0.03,
+        estimate_error: 2.0,
+        late_heartbeats: 0.5,
         ..Faults::default()
     };
     play_all(1.0, faults);
@@ -86,8 +86,8 @@
 #[test]
 fn agents_that_start_again_beside_late_orders_start_nothing_twice() {
     let faults = Faults {
-        late: 0.03,
-        ghosts: 0.5,
+        late_orders: 0.03,
+        late_heartbeats: 0.5,
         ..Faults::default()
     };
     play_all(1.0, faults);
@@ -99,8 +99,8 @@
 fn no_acknowledgement_for_one_life_is_taken_by_the_next() {
     for seed in 0..SEEDS {
         let mut world = World::new(3, seed);
-        world.keeps = 1.0;
-        world.quiet = true;
+        world.id_reuse = 1.0;
+        world.defer_heartbeats = true;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         for job in 1..=300 {
             let millis = rng.random_range(10..40);
@@ -108,7 +108,7 @@
             world.pass(ms(rng.random_range(0..40)));
             if job % 6 == 0 {
                 let agents: Vec<_> = world.agents.keys().cloned().collect();
-                world.reboot(&agents[rng.random_range(0..agents.len())]);
+                world.restart_agent(&agents[rng.random_range(0..agents.len())]);
             }
         }
         world.until("all are through", ms(30_000), |world| {
@@ -138,12 +138,12 @@
 /// Three hosts whose agents keep their ids, and one of another pool.
 fn small() -> World {
     let mut world = World::new(0, 1);
-    world.keeps = 1.0;
-    world.counts = true;
+    world.id_reuse = 1.0;
+    world.allow_reruns = true;
     for host in 1..=3 {
-        world.host(&format!("h{host}"), POOL);
+        world.add_host(&format!("h{host}"), POOL);
     }
-    world.host("h4", OTHER);
+    world.add_host("h4", OTHER_POOL);
     world.pass(ms(500));
     world
 }
@@ -151,11 +151,11 @@
 /// A host whose agent keeps its id and is heard late when it has started again, and one of another pool.
 fn single() -> World {
     let mut world = World::new(0, 1);
-    world.keeps = 1.0;
-    world.host("h1", POOL);
-    world.host("h4", OTHER);
+    world.id_reuse = 1.0;
+    world.add_host("h1", POOL);
+    world.add_host("h4", OTHER_POOL);
     world.pass(ms(500));
-    world.quiet = true;
+    world.defer_heartbeats = true;
     world
 }
 
@@ -167,8 +167,8 @@
     world.until("its start is under way", ms(500), |world| {
         world.sent.get("start").copied().unwrap_or_default() > starts
     });
-    let former = world.placed(JOB).unwrap();
-    world.reboot(&former).unwrap()
+    let former = world.placement(JOB).unwrap();
+    world.restart_agent(&former).unwrap()
 }
 
 /// Plays on until the job is through and its ends are taken note of; whether the task was started again
@@ -178,7 +178,10 @@
         world.state(JOB) == Some(JobState::Completed)
     });
     world.pass(ms(3000));
-    (!world.repeated.is_empty(), !world.redone.is_empty())
+    (
+        !world.reruns.is_empty(),
+        !world.acknowledged_reruns.is_empty(),
+    )
 }
 
 /// No order of events out of some, by their numbers, has a task started again though a run of it had ended
@@ -204,10 +207,10 @@
 fn what_an_unheard_incarnation_has_done_is_not_started_again() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
-        world.quiet = true;
+        world.defer_heartbeats = true;
         let next = overtake(&mut world, 1000);
         world.pass(TURN * turns);
-        world.finish(&next, TASK);
+        world.finish_task(&next, TASK);
         world
     });
 }
@@ -220,7 +223,7 @@
         let mut world = small();
         let next = overtake(&mut world, 1000);
         world.pass(TURN * turns);
-        world.finish(&next, TASK);
+        world.finish_task(&next, TASK);
         world
     });
 }
@@ -231,8 +234,8 @@
 fn what_begins_after_a_list_and_ends_before_a_stop_is_not_started_again() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
-        world.back = ms(40);
-        world.lags.insert("start", TURN * turns);
+        world.answer_delay = ms(40);
+        world.order_delays.insert("start", TURN * turns);
         overtake(&mut world, 10);
         world
     });
@@ -244,7 +247,7 @@
 fn what_an_unheard_incarnation_has_done_is_not_started_again_by_the_next_leader() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
-        world.quiet = true;
+        world.defer_heartbeats = true;
         overtake(&mut world, 20);
         world.pass(TURN * turns);
         world.depose();
@@ -259,14 +262,14 @@
 fn what_ends_between_a_list_and_a_stop_is_not_started_again_by_the_next_leader() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
-        world.quiet = true;
+        world.defer_heartbeats = true;
         let next = overtake(&mut world, 1000);
         world.pass(ms(5));
         world.depose();
         world.pass(ms(100));
         world.lead();
         world.pass(TURN * turns);
-        world.finish(&next, TASK);
+        world.finish_task(&next, TASK);
         world
     });
 }
@@ -277,10 +280,10 @@
 fn what_runs_at_the_next_incarnation_runs_no_longer_than_is_counted() {
     let mut world = small();
     world.pass(ms(10_000));
-    world.quiet = true;
+    world.defer_heartbeats = true;
     let next = overtake(&mut world, 5000);
     world.pass(TURN * 3);
-    world.cut(&next, ms(9000));
+    world.disconnect(&next, ms(9000));
     world.until("the job is through", ms(30_000), |world| {
         world.state(JOB) == Some(JobState::Completed)
     });
@@ -294,19 +297,19 @@
     // The ends of hosts aren't held against it, and each next incarnation is heard and told that its
     // end is known before the task is free.
     world.protections.suspicion = false;
-    world.stopping = ms(4000);
+    world.stop_time = ms(4000);
     world.depose();
     world.lead();
     world.pass(ms(2000));
-    world.faults.failing = 1.0;
+    world.faults.failed_attempts = 1.0;
     overtake(&mut world, 5);
     for attempt in 2..=ATTEMPTS + 1 {
         let starts = world.sent["start"];
         world.until("the job has failed, or is tried again", ms(6000), |world| {
             world.sent["start"] > starts || world.state(JOB) == Some(JobState::Failed)
         });
-        let former = world.placed(JOB).filter(|_| attempt <= ATTEMPTS);
-        former.and_then(|former| world.reboot(&former));
+        let former = world.placement(JOB).filter(|_| attempt <= ATTEMPTS);
+        former.and_then(|former| world.restart_agent(&former));
         world.pass(TURN * 2);
     }
     world.pass(ms(1500));
@@ -331,8 +334,8 @@
     world.until("its start is under way", ms(500), |world| {
         world.sent.contains_key("start")
     });
-    let former = world.placed(JOB).unwrap();
-    world.reboot(&former);
+    let former = world.placement(JOB).unwrap();
+    world.restart_agent(&former);
     world.until("the job is through", ms(20_000), |world| {
         world.state(JOB) == Some(JobState::Completed)
     });
@@ -348,7 +351,7 @@
         world.until("others are through", ms(3000), |world| {
             world.state(9) == Some(JobState::Completed)
         });
-        world.lags.insert("renew", ms(100));
+        world.order_delays.insert("renew", ms(100));
         world.pass(TURN * turns);
         overtake(&mut world, 10);
         world
@@ -360,16 +363,16 @@
 fn hunt(seed: u64, keeps: f64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x4e77);
     let mut world = World::new(0, seed);
-    world.keeps = keeps;
-    world.counts = true;
+    world.id_reuse = keeps;
+    world.allow_reruns = true;
     for host in 1..=4 {
-        world.host(&format!("h{host}"), POOL);
+        world.add_host(&format!("h{host}"), POOL);
     }
-    world.host("h5", OTHER);
+    world.add_host("h5", OTHER_POOL);
     world.pass(ms(300));
-    world.quiet = rng.random_bool(0.5);
+    world.defer_heartbeats = rng.random_bool(0.5);
     world.jitter = ms(rng.random_range(0..30));
-    world.faults.lost = [0.0, 0.03][rng.random_range(0..2)];
+    world.faults.lost_answers = [0.0, 0.03][rng.random_range(0..2)];
     for job in 1..=120 {
         let mut steps = vec![step(rng.random_range(1..4), 1, rng.random_range(10..60))];
         if rng.random_bool(0.3) {
@@ -383,8 +386,8 @@
                 let host = format!("h{}", rng.random_range(1..=4)).as_str().into();
                 for _ in 0..rng.random_range(1..4) {
                     // Its host may be away for a move.
-                    if let Some(agent) = world.living(&host) {
-                        world.reboot(&agent);
+                    if let Some(agent) = world.incarnation_at(&host) {
+                        world.restart_agent(&agent);
                     }
                     world.pass(ms(rng.random_range(0..200)));
                 }
@@ -403,7 +406,7 @@
         world.ledger.jobs().all(|(_, job)| job.has_ended())
     });
     world.pass(ms(3000));
-    world.redone
+    world.acknowledged_reruns
 }
 
 /// The seeds on which something was started again though a run of it had ended well, or a check of an agent
--- a/tests/workload/relays.rs
+++ b/tests/workload/relays.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{World, lasting, ms, step};
+use crate::world::{World, long_running, ms, step};
 
 /// Worlds that are played. Each plays some twenty standstills.
 const SEEDS: u64 = 24;
@@ -20,15 +20,15 @@
     world.fenced = fenced;
     world.protections.deadlines = deadlines;
     world.lead();
-    world.submit(1000, JobSpec::new("x", vec![lasting(3, 1)]));
+    world.submit(1000, JobSpec::new("x", vec![long_running(3, 1)]));
     world.pass(ms(1000));
     for job in 1..=30 {
         let (tasks, millis) = (rng.random_range(1..6), rng.random_range(100..2000));
         world.submit(job, JobSpec::new("x", vec![step(tasks, 2, millis)]));
         if rng.random_bool(0.6) {
             // As long as a freeze takes; longer than a lease at times.
-            world.stalled = world
-                .stalled
+            world.stalled_until = world
+                .stalled_until
                 .max(world.now + ms(rng.random_range(200..9000)));
         }
         world.pass(ms(rng.random_range(0..1500)));
@@ -37,7 +37,7 @@
             world.pass(ms(rng.random_range(0..1500)));
             world.lead();
             // It goes by another relay; what stands still still wakes.
-            world.stalled = world.now;
+            world.stalled_until = world.now;
         }
     }
     // Whatever was proposed at a takeover and lost was never acknowledged to its caller.
--- a/tests/workload/scarce.rs
+++ b/tests/workload/scarce.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{QUEUE, World, lasting, ms, step};
+use crate::world::{QUEUE, World, long_running, ms, step};
 
 /// Hosts that may end under a task: a third one, and those of two more starts.
 const MOST_ENDS: u32 = 5;
@@ -65,13 +65,16 @@
 /// What broke a promise in a world of such a shape.
 fn play(seed: u64, shape: Shape) -> Vec<String> {
     let mut world = World::new(shape.hosts, seed);
-    world.resets = true;
-    world.away = shape.away;
-    world.delays = (shape.delay, shape.delay);
+    world.reset_connections = true;
+    world.down_time = shape.away;
+    world.poison_delays = (shape.delay, shape.delay);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5ca);
     let hosts = u32::try_from(shape.hosts).unwrap();
     for job in 0..2 {
-        world.submit(LASTING + job, JobSpec::new("x", vec![lasting(hosts, 1)]));
+        world.submit(
+            LASTING + job,
+            JobSpec::new("x", vec![long_running(hosts, 1)]),
+        );
     }
     world.pass(BEFORE);
     for job in 1..=shape.jobs {
@@ -80,7 +83,7 @@
         step.need.millicores = shape.millicores;
         world.submit_to(QUEUE, job, JobSpec::new("x", vec![step]));
         if rng.random_bool(shape.share) {
-            world.deadly.insert(job, shape.tasks);
+            world.poison_tasks.insert(job, shape.tasks);
         }
         if shape.takeovers.is_some_and(|jobs| job.is_multiple_of(jobs)) {
             world.depose();
@@ -90,7 +93,7 @@
         world.pass(shape.pause);
     }
     // What each deadly job may cost one host after the other, and some more.
-    let deadly = u32::try_from(world.deadly.len()).unwrap();
+    let deadly = u32::try_from(world.poison_tasks.len()).unwrap();
     let turns = (deadly * MOST_ENDS).div_ceil(hosts) + 2;
     let limit = world.now + (shape.away + shape.delay + ms(1500)) * turns + ms(20_000);
     let waits = |world: &World| {
@@ -106,12 +109,12 @@
 fn faults(world: &World, waiting: usize) -> Vec<String> {
     let mut faults = Vec::new();
     let over: BTreeMap<_, _> = world
-        .killed
+        .hosts_killed
         .iter()
         .filter(|(_, n)| **n > MOST_ENDS)
         .collect();
     if !over.is_empty() {
-        let of = world.killed.len();
+        let of = world.hosts_killed.len();
         faults.push(format!(
             "{} of {of} tasks ended over {MOST_ENDS} hosts: {over:?}",
             over.len()
@@ -126,9 +129,12 @@
     let failed = world
         .ledger
         .jobs()
-        .filter(|(id, job)| job.state == JobState::Failed && !world.deadly.contains_key(id));
+        .filter(|(id, job)| job.state == JobState::Failed && !world.poison_tasks.contains_key(id));
     for (id, job) in failed {
-        let ends = world.ends.iter().filter(|(task, _)| task.step.job == id);
+        let ends = world
+            .host_losses
+            .iter()
+            .filter(|(task, _)| task.step.job == id);
         let most = ends.map(|(_, ends)| *ends).max().unwrap_or_default();
         // Callers know that a task under which two hosts have ended may be given up.
         if most < 2 {
--- a/tests/workload/storms.rs
+++ b/tests/workload/storms.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::world::{OTHER, POOL, QUEUE, SECOND, World, lasting, ms, step};
+use crate::world::{OTHER_POOL, OTHER_QUEUE, POOL, QUEUE, World, long_running, ms, step};
 
 /// Hosts that may end under a task: a third one, and those of two more starts.
 const MOST_ENDS: u32 = 5;
@@ -69,15 +69,15 @@
 
 fn play(seed: u64, shape: Shape) -> Outcome {
     let mut world = World::new(shape.hosts, seed);
-    world.resets = true;
-    world.away = ms(3000);
-    world.delays = (shape.delay, shape.delay);
+    world.reset_connections = true;
+    world.down_time = ms(3000);
+    world.poison_delays = (shape.delay, shape.delay);
     for host in 100..106 {
-        world.host(&format!("h{host}"), OTHER);
+        world.add_host(&format!("h{host}"), OTHER_POOL);
     }
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5708);
     let hosts = u32::try_from(shape.hosts).unwrap();
-    world.submit(LASTING, JobSpec::new("x", vec![lasting(hosts, 1)]));
+    world.submit(LASTING, JobSpec::new("x", vec![long_running(hosts, 1)]));
     world.pass(ms(20_000));
     let mut outcome = Outcome::default();
     let end = world.now + RUSH;
@@ -98,7 +98,7 @@
             } else {
                 world.submit(job, spec);
                 if deadly {
-                    world.deadly.insert(job, shape.tasks);
+                    world.poison_tasks.insert(job, shape.tasks);
                 } else {
                     outcome.innocent += 1;
                 }
@@ -108,7 +108,7 @@
             job += 1;
             due.insert(QUIET + job, world.now + OBJECTIVE);
             world.submit_to(
-                SECOND,
+                OTHER_QUEUE,
                 QUIET + job,
                 JobSpec::new("x", vec![step(3, 1, 500)]),
             );
@@ -162,10 +162,13 @@
     let short = world.ledger.jobs().filter(|(id, _)| *id < QUIET);
     let (mut waiting, mut lost) = (0, Vec::new());
     for (id, job) in short {
-        let deadly = world.deadly.contains_key(&id);
+        let deadly = world.poison_tasks.contains_key(&id);
         waiting += usize::from(!job.has_ended());
         outcome.done += usize::from(!deadly && job.state == JobState::Completed);
-        let ends = world.ends.iter().filter(|(task, _)| task.step.job == id);
+        let ends = world
+            .host_losses
+            .iter()
+            .filter(|(task, _)| task.step.job == id);
         let most = ends.map(|(_, ends)| *ends).max().unwrap_or_default();
         if !deadly && job.state == JobState::Failed && most < 2 {
             lost.push(id);
@@ -182,7 +185,11 @@
             .faults
             .push(format!("{} {of}: {lost:?}", lost.len()));
     }
-    let over = world.killed.values().filter(|n| **n > MOST_ENDS).count();
+    let over = world
+        .hosts_killed
+        .values()
+        .filter(|n| **n > MOST_ENDS)
+        .count();
     if over > 0 {
         outcome
             .faults
--- a/tests/workload/suspects.rs
+++ b/tests/workload/suspects.rs
@@ -15,7 +15,7 @@
     },
 };
 
-use crate::world::{OTHER, World, ms, step};
+use crate::world::{OTHER_POOL, World, ms, step};
 
 /// A task takes a whole host.
 const CORES: u64 = 8;
@@ -60,7 +60,7 @@
 fn silence(world: &mut World, job: u64, step: u16, tasks: usize) -> Vec<MinionId> {
     let silent = begun(world, job, step, tasks, BEGIN);
     for agent in &silent {
-        world.cut(agent, AWAY);
+        world.disconnect(agent, AWAY);
     }
     world.pass(ms(WORK * 2));
     silent
@@ -96,7 +96,7 @@
 /// The agents that were cut off are heard again.
 fn hear(world: &mut World, silent: &[MinionId]) {
     for agent in silent {
-        world.cut(agent, Duration::ZERO);
+        world.disconnect(agent, Duration::ZERO);
     }
 }
 
@@ -110,9 +110,9 @@
 
 fn world(hosts: usize) -> World {
     let mut world = World::new(hosts, 1);
-    world.away = AWAY;
+    world.down_time = AWAY;
     // Or one of the others would be moved there.
-    world.host("h100", OTHER);
+    world.add_host("h100", OTHER_POOL);
     world
 }
 
--- a/tests/workload/vacating.rs
+++ b/tests/workload/vacating.rs
@@ -7,12 +7,12 @@
 
 use egretpin::core::workload::spec::{JobSpec, StepSpec};
 
-use crate::world::{OTHER, POOL, QUEUE, SECOND, World, ms, step};
+use crate::world::{OTHER_POOL, OTHER_QUEUE, POOL, QUEUE, World, ms, step};
 
 /// Hosts of the other pool.
 fn others(world: &World) -> usize {
     let hosts = world.hosts.values();
-    hosts.filter(|host| &*host.pool == OTHER).count()
+    hosts.filter(|host| &*host.pool == OTHER_POOL).count()
 }
 
 /// A step whose tasks are on hosts of their own, as many as the first pool has.
@@ -25,11 +25,11 @@
 /// A pool that runs a little on each of its hosts, all of the time, and another whose rush begins.
 fn turn(seed: u64) -> World {
     let mut world = World::new(10, seed);
-    world.host("h20", OTHER);
+    world.add_host("h20", OTHER_POOL);
     world.pass(ms(3000));
     work(&mut world, 1, ms(1500));
     for job in 21..=26 {
-        world.submit_to(SECOND, job, JobSpec::new("x", vec![step(4, 8, 4000)]));
+        world.submit_to(OTHER_QUEUE, job, JobSpec::new("x", vec![step(4, 8, 4000)]));
     }
     world
 }
--- a/tests/workload/world.rs
+++ b/tests/workload/world.rs
@@ -33,13 +33,13 @@
 use rand_pcg::Pcg64Mcg;
 
 pub(crate) const POOL: &str = "pool";
-pub(crate) const OTHER: &str = "other";
-pub(crate) const SPARE: &str = "spare";
+pub(crate) const OTHER_POOL: &str = "other";
+pub(crate) const SPARE_POOL: &str = "spare";
 pub(crate) const QUEUE: &str = "queue";
 /// The queue of the other pool.
-pub(crate) const SECOND: &str = "second";
+pub(crate) const OTHER_QUEUE: &str = "second";
 /// A queue of the first pool that may use every second host only; a service knows that.
-pub(crate) const GUIDED: &str = "guided";
+pub(crate) const RESTRICTED_QUEUE: &str = "guided";
 /// What it takes to ask the service.
 const ELIGIBILITY: Eligibility = Eligibility {
     per_query: ms(40),
@@ -48,41 +48,41 @@
 };
 /// Turns of a leader from one that is compared with that of a twin which looks at every agent, and not
 /// only at those that something is known to be due for, to the next.
-const TWINS: usize = 7;
+const FULL_VISIT_INTERVAL: usize = 7;
 /// One step of time.
-const STEP: Duration = Duration::from_millis(5);
+const TICK: Duration = Duration::from_millis(5);
 /// From a proposal to its commit.
-const COMMIT: Duration = Duration::from_millis(8);
+const COMMIT_DELAY: Duration = Duration::from_millis(8);
 /// One way between leader and agent.
-const HOP: Duration = Duration::from_millis(1);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 /// How long the leader waits for an answer beyond what it asked to wait.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// A stop takes so long, unless a world says otherwise.
-const STOP: Duration = Duration::from_millis(300);
+const STOP_TIME: Duration = Duration::from_millis(300);
 /// How long a deadly task runs before it ends its host, unless a world says otherwise.
-const DEADLY: Duration = ms(20);
+const POISON_DELAY: Duration = ms(20);
 /// Hosts that may end under a task before it is started no more.
-pub(crate) const MOST_HOSTS: u32 = 3;
+pub(crate) const MAX_LOST_HOSTS: u32 = 3;
 /// Stands between the name of an agent and what tells its incarnations apart.
-const BORN: char = '@';
+const INCARNATION_SEPARATOR: char = '@';
 /// How long a host is away for its maintenance, a move or a restart.
-const AWAY: Duration = Duration::from_millis(1800);
-const BEAT: Duration = Duration::from_millis(1500);
+const HOST_DOWN_TIME: Duration = Duration::from_millis(1800);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
 /// The longest lease that an agent takes.
-const LEASE: Duration = ms(6000);
+const MAX_LEASE: Duration = ms(6000);
 /// By when nothing of a job that was cancelled runs, counted from its cancel.
-const CANCELLED: Duration = ms(3900);
+const CANCEL_LIMIT: Duration = ms(3900);
 /// And counted from a start that was carried out late, or the last disturbance: what is steady
 /// again after three seconds has as long as ever.
-const CANCELLED_LATE: Duration = ms(6900);
+const DISTURBED_CANCEL_LIMIT: Duration = ms(6900);
 /// How long after its leaving was acknowledged an agent may still begin what it was told to start.
-pub(crate) const NOTICE: Duration = ms(2000);
+pub(crate) const START_WINDOW: Duration = ms(2000);
 /// How long a job that is over is known.
 pub(crate) const RETENTION: Duration = Duration::from_secs(120);
 
 /// How long after it was decided a start may begin, and how long if it is carried out late.
-const FRESH: Duration = ms(1500);
-const LATE_ORDERS: Duration = ms(14_000);
+const MAX_START_DELAY: Duration = ms(1500);
+const MAX_LATE_START_DELAY: Duration = ms(14_000);
 
 pub(crate) const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -92,19 +92,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     /// Answers of agents that are lost.
-    pub(crate) lost: f64,
+    pub(crate) lost_answers: f64,
     /// Orders to agents that get no answer and are carried out two to twelve seconds later.
-    pub(crate) late: f64,
+    pub(crate) late_orders: f64,
     /// Whether leases that come late count from when they come.
-    pub(crate) lenient: bool,
+    pub(crate) lease_from_arrival: bool,
     /// Attempts that fail.
-    pub(crate) failing: f64,
+    pub(crate) failed_attempts: f64,
     /// Starts that an agent refuses because it isn't well.
-    pub(crate) unwell: f64,
+    pub(crate) unwell_refusals: f64,
     /// How far off estimates are: tasks take up to this many times as long, or that part of it.
-    pub(crate) off: f64,
+    pub(crate) estimate_error: f64,
     /// Incarnations that end of which a heartbeat comes up to twenty seconds later.
-    pub(crate) ghosts: f64,
+    pub(crate) late_heartbeats: f64,
 }
 
 /// What the leader's processor takes for what it does, as measured where one was full with 350 agents.
@@ -113,16 +113,16 @@
     /// Taking an input in, or applying a commit.
     pub(crate) input: Duration,
     /// Looking at an agent, or at a step that waits.
-    pub(crate) look: Duration,
+    pub(crate) visit: Duration,
     /// Sending an order and reading its answer.
     pub(crate) order: Duration,
 }
 
 /// Inputs that a leader with a processor takes in before it decides.
-const BATCH: usize = 256;
+const MAX_INPUT_BATCH: usize = 256;
 
 /// From one look at how busy it was to the next.
-const SAMPLE: Duration = ms(100);
+const BUSY_SAMPLE_INTERVAL: Duration = ms(100);
 
 /// A run that ended well at an agent, whose end may have been taken note of.
 #[derive(Clone, Debug)]
@@ -132,32 +132,32 @@
     attempt: u32,
     at: Now,
     /// Whether its agent was told that it is known.
-    noted: bool,
+    acknowledged: bool,
     /// The first start after it: where, which attempt, and when.
-    again: Option<(MinionId, u32, Now)>,
+    rerun: Option<(MinionId, u32, Now)>,
 }
 
 /// What waits for a leader with a processor.
 enum Input {
     Answer(u64, OrderId, Answer),
-    Beat(Box<AgentRecord>, AgentTime),
+    Heartbeat(Box<AgentRecord>, AgentTime),
 }
 
 struct Run {
     attempt: u32,
     /// When it began.
-    began: Now,
+    started_at: Now,
     /// Whether its start came late.
-    late: bool,
-    room: Resources,
-    ends: Now,
-    how: Ending,
+    started_late: bool,
+    reservation: Resources,
+    ends_at: Now,
+    ending: Ending,
     stopping: bool,
     percent: u32,
     /// The hundredths of its speed that it works at.
-    share: u8,
+    speed_percent: u8,
     best_effort: bool,
-    serves: bool,
+    latency_sensitive: bool,
 }
 
 impl Run {
@@ -169,34 +169,34 @@
 pub(crate) struct Agent {
     pub(crate) record: AgentRecord,
     pub(crate) host: HostId,
-    boot: Now,
+    booted_at: Now,
     /// How fast its clock runs.
-    rate: f64,
-    token: u64,
-    lease: AgentTime,
+    clock_rate: f64,
+    fencing_term: u64,
+    lease_end: AgentTime,
     running: BTreeMap<TaskId, Run>,
     /// The last attempt of each task that was stopped or ended here.
-    over: BTreeMap<TaskId, u32>,
-    ended: Vec<Ended>,
-    number: u64,
+    last_attempts: BTreeMap<TaskId, u32>,
+    unacked_ends: Vec<Ended>,
+    end_count: u64,
     /// Until when nothing gets through.
-    cut: Now,
+    cut_until: Now,
     /// Until when no order gets through, while its heartbeats do.
-    deaf: Now,
+    blocked_until: Now,
     /// How many times as long its tasks take; without an end if so many that it stands still.
-    pub(crate) slow: f64,
+    pub(crate) slowdown: f64,
 }
 
 impl Agent {
     fn clock(&self, now: Now) -> AgentTime {
-        now.saturating_sub(self.boot).mul_f64(self.rate) + ms(5000)
+        now.saturating_sub(self.booted_at).mul_f64(self.clock_rate) + ms(5000)
     }
 
     /// The tail latency of what serves here, in milliseconds: ten, and more for each best-effort
     /// task at full speed.
-    pub(crate) fn tail(&self, harm: f64) -> f64 {
+    pub(crate) fn tail_latency(&self, harm: f64) -> f64 {
         let others = self.running.values().filter(|run| run.best_effort);
-        let shares: f64 = others.map(|run| f64::from(run.share) / 100.0).sum();
+        let shares: f64 = others.map(|run| f64::from(run.speed_percent) / 100.0).sum();
         10.0 + harm * shares
     }
 
@@ -206,7 +206,7 @@
     }
 
     fn used(&self) -> Resources {
-        let rooms = self.running.values().map(|run| run.room);
+        let rooms = self.running.values().map(|run| run.reservation);
         rooms.fold(Resources::default(), |sum, room| sum.plus(&room))
     }
 }
@@ -229,15 +229,15 @@
         answer: Answer,
     },
     /// A renewal has waited long enough for an end, at an incarnation that had ended so many runs.
-    Waited {
+    RenewalTimeout {
         order: Order,
         since: u64,
         taker: MinionId,
     },
     /// A host is back in a pool.
-    Back { host: HostId },
+    HostUp { host: HostId },
     /// A heartbeat that was under way for long arrives.
-    Beat {
+    Heartbeat {
         record: Box<AgentRecord>,
         clock: AgentTime,
     },
@@ -255,46 +255,46 @@
     /// Hosts that the provider's lists lack though they are there.
     pub(crate) unlisted: BTreeSet<HostId>,
     /// Runs that orders about their hosts ended.
-    pub(crate) ended: usize,
+    pub(crate) interrupted_runs: usize,
     /// How long a stop takes.
-    pub(crate) stopping: Duration,
+    pub(crate) stop_time: Duration,
     /// The part of the agents that start again under the id that they had.
-    pub(crate) keeps: f64,
+    pub(crate) id_reuse: f64,
     /// Whether those are heard with the next round of heartbeats only, and not at once; a new leader hears
     /// all agents only then, too.
-    pub(crate) quiet: bool,
+    pub(crate) defer_heartbeats: bool,
     /// One way from an agent to the leader.
-    pub(crate) back: Duration,
+    pub(crate) answer_delay: Duration,
     /// How much longer orders of a kind take to an agent.
-    pub(crate) lags: BTreeMap<&'static str, Duration>,
+    pub(crate) order_delays: BTreeMap<&'static str, Duration>,
     /// How much longer each order and each answer may take, so that they overtake each other.
     pub(crate) jitter: Duration,
     /// How long a host that ended by itself is away.
-    pub(crate) away: Duration,
+    pub(crate) down_time: Duration,
     /// Lasting tasks that orders ended and that aren't at work again.
-    taken: BTreeSet<TaskId>,
+    disrupted: BTreeSet<TaskId>,
     /// Lasting tasks that were ended at work while as many others of their steps were away as may
     /// be, and when.
-    pub(crate) overdrawn: Vec<(TaskId, Now)>,
+    pub(crate) over_budget: Vec<(TaskId, Now)>,
     /// Hosts that were removed for good.
     pub(crate) removed: BTreeSet<HostId>,
     /// The last term in which each host got an order, and when.
-    ordered: BTreeMap<HostId, (u64, Now)>,
+    last_orders: BTreeMap<HostId, (u64, Now)>,
     /// How long the orders of two leaders about one host must be apart.
-    pub(crate) holder: Duration,
+    pub(crate) handover_delay: Duration,
     /// Hosts whose maintenance was begun, by wave.
     pub(crate) maintained: BTreeSet<(WaveId, HostId)>,
     /// Hosts down for each wave now, and the most at once.
     down: BTreeMap<WaveId, BTreeSet<HostId>>,
-    pub(crate) peak: usize,
+    pub(crate) peak_down: usize,
     pub(crate) moves: usize,
     /// Grants that were given, for which step and agent, and until when they hold.
     grants: BTreeMap<Name, (StepId, MinionId, Now)>,
     /// Questions to the service, and whether it answers.
-    pub(crate) asked: usize,
-    pub(crate) mute: bool,
+    pub(crate) service_queries: usize,
+    pub(crate) service_down: bool,
     /// What each best-effort task at full speed adds to the tails beside it, in milliseconds.
-    pub(crate) harm: f64,
+    pub(crate) interference: f64,
     /// Starts of each task.
     pub(crate) starts: BTreeMap<TaskId, u32>,
     catalog: Arc<Catalog>,
@@ -305,74 +305,74 @@
     serial: u64,
     boots: u32,
     rng: Pcg64Mcg,
-    beats: Now,
+    last_heartbeats: Now,
     /// The longest lease that agents take and the next leader gives.
     pub(crate) lease: Duration,
     /// When each job was cancelled, as far as it was.
-    cancelled: BTreeMap<u64, Now>,
+    cancelled_at: BTreeMap<u64, Now>,
     /// When orders or answers last went astray, a leader began, or an agent was taken for gone.
-    disturbed: Now,
+    disturbed_at: Now,
     /// Whether agents check no more than what is asked of cancelled jobs: where ones that live are
     /// taken for gone, or leases outlive what leaders count, a task may run twice at once.
-    pub(crate) lax: bool,
+    pub(crate) relaxed_checks: bool,
     /// Which protections the next leader has.
     pub(crate) protections: Protections,
     /// The workspace that jobs are submitted for.
-    pub(crate) owner: Option<WorkspaceId>,
+    pub(crate) workspace: Option<WorkspaceId>,
     /// The caps of workspaces, and since when each was in force.
     caps: Vec<(Now, WorkspaceId, Cap)>,
     /// The most that a workspace had running beyond its cap when a task started, in thousandths of a core.
-    pub(crate) beyond: u64,
+    pub(crate) cap_excess: u64,
     /// What was committed, in order.
     pub(crate) committed: Vec<Command>,
     /// What the leader's processor takes; no time at all if not given.
     pub(crate) processor: Option<Processor>,
     inbox: VecDeque<Input>,
     /// Until when the leader is busy, and how much of the time since then it was.
-    busy: Now,
-    worked: (Now, Duration),
+    busy_until: Now,
+    work_time: (Now, Duration),
     /// Until when the relay of every second host stands still; then it carries out what it got meanwhile.
-    pub(crate) stalled: Now,
+    pub(crate) stalled_until: Now,
     /// Whether agents refuse what leaders of earlier terms order.
     pub(crate) fenced: bool,
     /// Whether connections to an agent that dies are reset, and not silent.
-    pub(crate) resets: bool,
+    pub(crate) reset_connections: bool,
     /// Jobs with tasks that end the hosts that run them: how many of each step, the first ones.
-    pub(crate) deadly: BTreeMap<u64, u32>,
+    pub(crate) poison_tasks: BTreeMap<u64, u32>,
     /// How long deadly tasks run before they end their hosts: from the one to the other, each task always
     /// equally long.
-    pub(crate) delays: (Duration, Duration),
+    pub(crate) poison_delays: (Duration, Duration),
     /// The hosts that a deadly task ends at most; then it is like any other.
-    pub(crate) most: u32,
+    pub(crate) max_kills: u32,
     /// The hosts that each deadly task has ended.
-    pub(crate) killed: BTreeMap<TaskId, u32>,
+    pub(crate) hosts_killed: BTreeMap<TaskId, u32>,
     /// The hosts that ended by themselves or by the doing of others while each task ran there, its own
     /// among them.
-    pub(crate) ends: BTreeMap<TaskId, u32>,
+    pub(crate) host_losses: BTreeMap<TaskId, u32>,
     /// Agents and waiting steps that the leader looked at, and turns in which it decided.
-    pub(crate) looks: usize,
-    pub(crate) turns: usize,
+    pub(crate) visits: usize,
+    pub(crate) plans: usize,
     /// When the leaving of agents was acknowledged to them.
-    told: BTreeMap<MinionId, Now>,
+    leaving_acks: BTreeMap<MinionId, Now>,
     /// Runs that ended well, by task, but for those whose ends were lost with their agents.
-    finished: BTreeMap<TaskId, Finish>,
+    completions: BTreeMap<TaskId, Finish>,
     /// Those of each agent that may still be taken note of.
-    untold: BTreeMap<MinionId, Vec<TaskId>>,
+    unreported: BTreeMap<MinionId, Vec<TaskId>>,
     /// Runs of each task that failed, as far as that was taken note of.
     pub(crate) failures: BTreeMap<TaskId, u32>,
     /// Tasks that were started after a run of theirs had ended well, and that end was taken note of.
-    pub(crate) redone: Vec<String>,
+    pub(crate) acknowledged_reruns: Vec<String>,
     /// Tasks that were started after a run of theirs had ended well at an agent that still lived then,
     /// whether or not that was taken note of.
-    pub(crate) repeated: BTreeSet<TaskId>,
+    pub(crate) reruns: BTreeSet<TaskId>,
     /// Whether a test looks at these itself; what was redone fails the test otherwise.
-    pub(crate) counts: bool,
+    pub(crate) allow_reruns: bool,
 }
 
 impl World {
     /// A pool of so many hosts with 8 cores, two a rack, and a leader.
     pub(crate) fn new(hosts: usize, seed: u64) -> Self {
-        Self::with_lease(hosts, seed, LEASE)
+        Self::with_lease(hosts, seed, MAX_LEASE)
     }
 
     /// The same with agents that take leases of such a length.
@@ -389,14 +389,18 @@
         };
         let guided = QueueSpec {
             eligibility: Some(ELIGIBILITY),
-            ..queue(GUIDED, POOL)
+            ..queue(RESTRICTED_QUEUE, POOL)
         };
         let pool = |name: &str, spare| PoolSpec {
             name: name.into(),
             spare,
             admission_control: false,
         };
-        let pools = vec![pool(POOL, false), pool(OTHER, false), pool(SPARE, true)];
+        let pools = vec![
+            pool(POOL, false),
+            pool(OTHER_POOL, false),
+            pool(SPARE_POOL, true),
+        ];
         let mut world = Self {
             now: ms(1000),
             ledger: Ledger::default(),
@@ -406,31 +410,31 @@
             faults: Faults::default(),
             sent: BTreeMap::new(),
             unlisted: BTreeSet::new(),
-            ended: 0,
-            stopping: STOP,
-            keeps: 0.0,
-            quiet: false,
-            back: HOP,
-            lags: BTreeMap::new(),
+            interrupted_runs: 0,
+            stop_time: STOP_TIME,
+            id_reuse: 0.0,
+            defer_heartbeats: false,
+            answer_delay: ONE_WAY_DELAY,
+            order_delays: BTreeMap::new(),
             jitter: Duration::ZERO,
-            away: AWAY,
-            taken: BTreeSet::new(),
-            overdrawn: Vec::new(),
+            down_time: HOST_DOWN_TIME,
+            disrupted: BTreeSet::new(),
+            over_budget: Vec::new(),
             removed: BTreeSet::new(),
-            ordered: BTreeMap::new(),
-            holder: ms(100),
+            last_orders: BTreeMap::new(),
+            handover_delay: ms(100),
             maintained: BTreeSet::new(),
             down: BTreeMap::new(),
-            peak: 0,
+            peak_down: 0,
             moves: 0,
             grants: BTreeMap::new(),
-            asked: 0,
-            mute: false,
-            harm: 0.0,
+            service_queries: 0,
+            service_down: false,
+            interference: 0.0,
             starts: BTreeMap::new(),
             catalog: Arc::new(Catalog::new(
                 1,
-                vec![queue(QUEUE, POOL), queue(SECOND, OTHER), guided],
+                vec![queue(QUEUE, POOL), queue(OTHER_QUEUE, OTHER_POOL), guided],
                 pools,
             )),
             term: 0,
@@ -440,40 +444,40 @@
             serial: 0,
             boots: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            beats: Duration::ZERO,
+            last_heartbeats: Duration::ZERO,
             lease,
-            cancelled: BTreeMap::new(),
-            disturbed: Duration::ZERO,
-            lax: false,
+            cancelled_at: BTreeMap::new(),
+            disturbed_at: Duration::ZERO,
+            relaxed_checks: false,
             protections: Protections::default(),
-            owner: None,
+            workspace: None,
             caps: Vec::new(),
-            beyond: 0,
+            cap_excess: 0,
             committed: Vec::new(),
             processor: None,
             inbox: VecDeque::new(),
-            busy: Duration::ZERO,
-            worked: (Duration::ZERO, Duration::ZERO),
-            stalled: Duration::ZERO,
+            busy_until: Duration::ZERO,
+            work_time: (Duration::ZERO, Duration::ZERO),
+            stalled_until: Duration::ZERO,
             fenced: true,
-            resets: false,
-            deadly: BTreeMap::new(),
-            delays: (DEADLY, DEADLY),
-            most: u32::MAX,
-            killed: BTreeMap::new(),
-            ends: BTreeMap::new(),
-            looks: 0,
-            turns: 0,
-            told: BTreeMap::new(),
-            finished: BTreeMap::new(),
-            untold: BTreeMap::new(),
+            reset_connections: false,
+            poison_tasks: BTreeMap::new(),
+            poison_delays: (POISON_DELAY, POISON_DELAY),
+            max_kills: u32::MAX,
+            hosts_killed: BTreeMap::new(),
+            host_losses: BTreeMap::new(),
+            visits: 0,
+            plans: 0,
+            leaving_acks: BTreeMap::new(),
+            completions: BTreeMap::new(),
+            unreported: BTreeMap::new(),
             failures: BTreeMap::new(),
-            redone: Vec::new(),
-            repeated: BTreeSet::new(),
-            counts: false,
+            acknowledged_reruns: Vec::new(),
+            reruns: BTreeSet::new(),
+            allow_reruns: false,
         };
         for host in 0..hosts {
-            world.host(&format!("h{host}"), POOL);
+            world.add_host(&format!("h{host}"), POOL);
         }
         world.lead();
         world
@@ -481,11 +485,11 @@
 
     /// A host with a lasting task that serves and a best-effort one beside it: it is the only one, so
     /// that they can't keep apart.
-    pub(crate) fn with_filling(seed: u64) -> Self {
+    pub(crate) fn with_best_effort(seed: u64) -> Self {
         let mut world = Self::new(1, seed);
-        let mut serving = lasting(1, 2);
+        let mut serving = long_running(1, 2);
         serving.tail_latency = Some(ms(50));
-        let mut filling = lasting(1, 2);
+        let mut filling = long_running(1, 2);
         filling.best_effort = true;
         world.submit(1, JobSpec::new("x", vec![serving, filling]));
         world.until("both run", ms(2000), |world| world.runs(1).len() == 2);
@@ -493,15 +497,15 @@
     }
 
     /// The highest tail latency of what serves, in milliseconds.
-    pub(crate) fn tail(&self) -> f64 {
+    pub(crate) fn tail_latency(&self) -> f64 {
         let agents = self.agents.values();
         agents
-            .map(|agent| agent.tail(self.harm))
+            .map(|agent| agent.tail_latency(self.interference))
             .fold(0.0, f64::max)
     }
 
     /// Adds a host that is up in a pool.
-    pub(crate) fn host(&mut self, host: &str, pool: &str) {
+    pub(crate) fn add_host(&mut self, host: &str, pool: &str) {
         let view = HostView {
             host: host.into(),
             pool: pool.into(),
@@ -521,12 +525,12 @@
 
     fn boot_at(&mut self, host: &HostId, address: SocketAddr) {
         let rack = host[1..].parse::<usize>().unwrap_or(0) / 2;
-        let keeps = self.keeps > 0.0 && self.rng.random_bool(self.keeps);
+        let keeps = self.id_reuse > 0.0 && self.rng.random_bool(self.id_reuse);
         let Some(view) = self.hosts.get_mut(host) else {
             return;
         };
         view.state = HostState::Up;
-        if &*view.pool == SPARE {
+        if &*view.pool == SPARE_POOL {
             return;
         }
         self.boots += 1;
@@ -536,7 +540,7 @@
             format!("{host}-{}", self.boots).into()
         };
         let id: MinionId = if keeps {
-            format!("{name}{BORN}{}", self.boots).into()
+            format!("{name}{INCARNATION_SEPARATOR}{}", self.boots).into()
         } else {
             name.clone()
         };
@@ -561,34 +565,34 @@
         let agent = Agent {
             record,
             host: host.clone(),
-            boot: self.now,
-            rate,
-            token: 0,
-            lease: Duration::ZERO,
+            booted_at: self.now,
+            clock_rate: rate,
+            fencing_term: 0,
+            lease_end: Duration::ZERO,
             running: BTreeMap::new(),
-            over: BTreeMap::new(),
-            ended: Vec::new(),
-            number: 0,
-            cut: Duration::ZERO,
-            deaf: Duration::ZERO,
-            slow: 1.0,
+            last_attempts: BTreeMap::new(),
+            unacked_ends: Vec::new(),
+            end_count: 0,
+            cut_until: Duration::ZERO,
+            blocked_until: Duration::ZERO,
+            slowdown: 1.0,
         };
         self.agents.insert(id.clone(), agent);
-        if !(keeps && self.quiet) {
-            self.beat(&id);
+        if !(keeps && self.defer_heartbeats) {
+            self.send_heartbeat(&id);
         }
     }
 
     /// A new leader, in a new term.
     pub(crate) fn lead(&mut self) {
         self.term += 1;
-        self.disturbed = self.now;
+        self.disturbed_at = self.now;
         let settings = Settings {
             lease: self.lease,
             max_silence: ms(4000),
-            handover_delay: self.holder,
-            max_stop: self.stopping,
-            start_window: NOTICE,
+            handover_delay: self.handover_delay,
+            max_stop: self.stop_time,
+            start_window: START_WINDOW,
             retention: RETENTION,
             protections: self.protections,
         };
@@ -602,11 +606,11 @@
             &self.ledger,
         );
         self.scheduler = Some(scheduler);
-        if self.quiet {
+        if self.defer_heartbeats {
             return;
         }
         let agents: Vec<_> = self.agents.keys().cloned().collect();
-        agents.iter().for_each(|id| self.beat(id));
+        agents.iter().for_each(|id| self.send_heartbeat(id));
     }
 
     /// The leader is gone: a part of what it proposed last is committed, in order.
@@ -616,15 +620,15 @@
         for (_, command) in self.log.drain(..).take(kept).collect::<Vec<_>>() {
             self.index += 1;
             self.ledger.apply(self.index, &command);
-            self.note_cancel(&command);
+            self.record_cancel(&command);
         }
     }
 
-    fn note_cancel(&mut self, command: &Command) {
+    fn record_cancel(&mut self, command: &Command) {
         if let Command::Cancel(job) = command
             && self.state(*job) == Some(JobState::Cancelled)
         {
-            self.cancelled.entry(*job).or_insert(self.now);
+            self.cancelled_at.entry(*job).or_insert(self.now);
         }
     }
 
@@ -633,28 +637,32 @@
         if self.scheduler.is_none() {
             return;
         }
-        for (id, agent) in self.agents.iter().filter(|(_, a)| self.now >= a.cut) {
+        for (id, agent) in self.agents.iter().filter(|(_, a)| self.now >= a.cut_until) {
             for (task, run) in &agent.running {
-                let Some(cancelled) = self.cancelled.get(&task.step.job) else {
+                let Some(cancelled) = self.cancelled_at.get(&task.step.job) else {
                     continue;
                 };
-                let late = if run.late { run.began } else { Now::ZERO };
-                let disturbed = late.max(self.disturbed).max(agent.cut);
-                let limit = (*cancelled + CANCELLED).max(disturbed + CANCELLED_LATE);
+                let late = if run.started_late {
+                    run.started_at
+                } else {
+                    Now::ZERO
+                };
+                let disturbed = late.max(self.disturbed_at).max(agent.cut_until);
+                let limit = (*cancelled + CANCEL_LIMIT).max(disturbed + DISTURBED_CANCEL_LIMIT);
                 assert!(
                     self.now <= limit,
                     "{task} attempt {} of a job cancelled at {cancelled:?} runs on at {id} at {:?}, begun at {:?}, late: {}",
                     run.attempt,
                     self.now,
-                    run.began,
-                    run.late,
+                    run.started_at,
+                    run.started_late,
                 );
             }
         }
     }
 
     /// A cap for a workspace, in force at once.
-    pub(crate) fn cap(&mut self, workspace: &str, cores: u64) {
+    pub(crate) fn set_cap(&mut self, workspace: &str, cores: u64) {
         let cap = Cap(Resources {
             millicores: cores * 1000,
             ..Resources::default()
@@ -676,13 +684,13 @@
     }
 
     /// Thousandths of a core that a workspace has running, what is being stopped among it.
-    pub(crate) fn running(&self, workspace: &str) -> u64 {
+    pub(crate) fn running_millicores(&self, workspace: &str) -> u64 {
         let runs = self.agents.values().flat_map(|agent| &agent.running);
         let own = runs.filter(|(task, _)| {
             let job = self.ledger.job(task.step.job);
             job.and_then(|job| job.workspace.as_deref()) == Some(workspace)
         });
-        own.map(|(_, run)| run.room.millicores).sum()
+        own.map(|(_, run)| run.reservation.millicores).sum()
     }
 
     /// A task of a workspace has started: within the highest cap that its start may have been decided by, or
@@ -692,16 +700,23 @@
         let Some(workspace) = job.and_then(|job| job.workspace.clone()) else {
             return;
         };
-        let within = if late { LATE_ORDERS } else { FRESH };
+        let within = if late {
+            MAX_LATE_START_DELAY
+        } else {
+            MAX_START_DELAY
+        };
         let since = self.now.saturating_sub(within);
         let own = self.caps.iter().filter(|(_, name, _)| *name == workspace);
         let own: Vec<_> = own.collect();
         let ends = own.iter().skip(1).map(|(at, ..)| *at).chain([Now::MAX]);
         let caps = own.iter().zip(ends).filter(|(_, end)| *end >= since);
         let most = caps.map(|((.., cap), _)| cap.0.millicores).max();
-        let (most, running) = (most.unwrap_or_default(), self.running(&workspace));
+        let (most, running) = (
+            most.unwrap_or_default(),
+            self.running_millicores(&workspace),
+        );
         if most > 0 && running > room.millicores {
-            self.beyond = self.beyond.max(running.saturating_sub(most));
+            self.cap_excess = self.cap_excess.max(running.saturating_sub(most));
         }
     }
 
@@ -716,17 +731,17 @@
             job,
             queue: queue.into(),
             pool,
-            workspace: self.owner.clone(),
+            workspace: self.workspace.clone(),
             spec,
             accepted_at: self.now,
         })));
     }
 
     pub(crate) fn propose(&mut self, command: Command) {
-        self.log.push_back((self.now + COMMIT, command));
+        self.log.push_back((self.now + COMMIT_DELAY, command));
     }
 
-    pub(crate) fn wave(&mut self, wave: WaveId, hosts: &[&str], cap: u32, within: Duration) {
+    pub(crate) fn start_wave(&mut self, wave: WaveId, hosts: &[&str], cap: u32, within: Duration) {
         self.propose(Command::Wave(WaveRecord {
             wave,
             remaining: hosts.iter().map(|host| HostId::from(*host)).collect(),
@@ -740,7 +755,7 @@
     }
 
     /// The incarnation that lives at a host.
-    pub(crate) fn living(&self, host: &HostId) -> Option<MinionId> {
+    pub(crate) fn incarnation_at(&self, host: &HostId) -> Option<MinionId> {
         let mut agents = self.agents.iter();
         let living = agents.find(|(_, agent)| agent.host == *host);
         living.map(|(id, _)| id.clone())
@@ -765,36 +780,38 @@
         };
         let host = agent.host.clone();
         for task in agent.running.keys() {
-            *self.ends.entry(*task).or_default() += 1;
+            *self.host_losses.entry(*task).or_default() += 1;
         }
         self.crash(id);
-        self.at(self.now + self.away, Event::Back { host });
-        if !self.resets {
+        self.schedule(self.now + self.down_time, Event::HostUp { host });
+        if !self.reset_connections {
             return;
         }
         let waiting = self.events.iter().filter(|(_, event)| match event {
-            Event::Waited { order, .. } => order.kind.target().is_some_and(|to| to.agent == *id),
+            Event::RenewalTimeout { order, .. } => {
+                order.kind.target().is_some_and(|to| to.agent == *id)
+            }
             _ => false,
         });
         let waiting: Vec<_> = waiting.map(|(key, _)| *key).collect();
         for key in waiting {
-            if let Some(Event::Waited { order, .. }) = self.events.remove(&key) {
-                self.answer(&order, Answer::Silent);
+            if let Some(Event::RenewalTimeout { order, .. }) = self.events.remove(&key) {
+                self.send_answer(&order, Answer::Silent);
             }
         }
     }
 
     /// Ends the hosts on which deadly tasks have run for long enough.
-    fn run_deadly(&mut self) {
+    fn run_poison_tasks(&mut self) {
         let now = self.now;
         let mut ended: BTreeMap<MinionId, Vec<TaskId>> = BTreeMap::new();
         for (id, agent) in &self.agents {
             let runs = agent.running.iter();
             let deadly = runs.filter(|(task, run)| {
-                let deadly = self.deadly.get(&task.step.job);
+                let deadly = self.poison_tasks.get(&task.step.job);
                 deadly.is_some_and(|deadly| task.task < *deadly)
-                    && now >= run.began + self.delay(**task)
-                    && self.killed.get(*task).copied().unwrap_or_default() < self.most
+                    && now >= run.started_at + self.poison_delay(**task)
+                    && self.hosts_killed.get(*task).copied().unwrap_or_default() < self.max_kills
             });
             for (task, _) in deadly {
                 ended.entry(id.clone()).or_default().push(*task);
@@ -802,78 +819,81 @@
         }
         for (id, tasks) in ended {
             for task in tasks {
-                *self.killed.entry(task).or_default() += 1;
+                *self.hosts_killed.entry(task).or_default() += 1;
             }
             self.restart(&id);
         }
     }
 
     /// How long a deadly task runs before it ends its host.
-    fn delay(&self, task: TaskId) -> Duration {
-        let (least, most) = self.delays;
+    fn poison_delay(&self, task: TaskId) -> Duration {
+        let (least, most) = self.poison_delays;
         let seed = task.step.job ^ u64::from(task.task) << 32;
         let part = Pcg64Mcg::seed_from_u64(seed).random_range(0.0..1.0);
         least + most.saturating_sub(least).mul_f64(part)
     }
 
     /// An agent dies, and the next incarnation comes up at its address, behind the same cut; which.
-    pub(crate) fn reboot(&mut self, id: &MinionId) -> Option<MinionId> {
+    pub(crate) fn restart_agent(&mut self, id: &MinionId) -> Option<MinionId> {
         let Agent {
-            record, host, cut, ..
+            record,
+            host,
+            cut_until: cut,
+            ..
         } = self.agents.remove(id)?;
         self.lose_ends(id);
-        self.haunt(&record.id, &record);
+        self.maybe_late_heartbeat(&record.id, &record);
         let never = format!("{id}-unheard").into();
-        self.haunt(&never, &record);
+        self.maybe_late_heartbeat(&never, &record);
         self.boot_at(&host, record.address);
-        let next = self.living(&host)?;
-        self.agents.get_mut(&next)?.cut = cut;
+        let next = self.incarnation_at(&host)?;
+        self.agents.get_mut(&next)?.cut_until = cut;
         Some(next)
     }
 
     /// Has a heartbeat of an incarnation that is over arrive some time, if the faults say so.
-    fn haunt(&mut self, id: &MinionId, record: &AgentRecord) {
-        if self.faults.ghosts > 0.0 && self.rng.random_bool(self.faults.ghosts) {
+    fn maybe_late_heartbeat(&mut self, id: &MinionId, record: &AgentRecord) {
+        if self.faults.late_heartbeats > 0.0 && self.rng.random_bool(self.faults.late_heartbeats) {
             let delay = Duration::from_secs_f64(self.rng.random_range(0.0..20.0));
-            self.late_beat(id, record, delay);
+            self.late_heartbeat(id, record, delay);
         }
     }
 
     /// Has a heartbeat arrive after a delay that says what a record does, of this incarnation.
-    pub(crate) fn late_beat(&mut self, id: &MinionId, record: &AgentRecord, delay: Duration) {
+    pub(crate) fn late_heartbeat(&mut self, id: &MinionId, record: &AgentRecord, delay: Duration) {
         let record = AgentRecord {
             id: id.clone(),
             name: name(id).into(),
             ..record.clone()
         };
-        let event = Event::Beat {
+        let event = Event::Heartbeat {
             record: Box::new(record),
             clock: ms(5000),
         };
-        self.at(self.now + delay, event);
+        self.schedule(self.now + delay, event);
     }
 
     /// Nothing gets through to an agent for a while.
-    pub(crate) fn cut(&mut self, id: &MinionId, span: Duration) {
+    pub(crate) fn disconnect(&mut self, id: &MinionId, span: Duration) {
         if let Some(agent) = self.agents.get_mut(id) {
-            agent.cut = self.now + span;
+            agent.cut_until = self.now + span;
         }
     }
 
     /// What an agent runs of a task ends well now.
-    pub(crate) fn finish(&mut self, id: &MinionId, task: TaskId) {
+    pub(crate) fn finish_task(&mut self, id: &MinionId, task: TaskId) {
         let agent = self.agents.get_mut(id);
         let run = agent.and_then(|agent| agent.running.get_mut(&task));
         if let Some(run) = run.filter(|run| !run.stopping) {
-            run.ends = self.now;
-            run.how = Ending::Done;
+            run.ends_at = self.now;
+            run.ending = Ending::Done;
         }
     }
 
     /// No order gets through to an agent for a while, and its heartbeats do.
-    pub(crate) fn deafen(&mut self, id: &MinionId, span: Duration) {
+    pub(crate) fn block_orders(&mut self, id: &MinionId, span: Duration) {
         if let Some(agent) = self.agents.get_mut(id) {
-            agent.deaf = self.now + span;
+            agent.blocked_until = self.now + span;
         }
     }
 
@@ -882,11 +902,11 @@
         if let Some(agent) = self.agents.get_mut(id) {
             agent.record.leaving = true;
         }
-        self.beat(id);
+        self.send_heartbeat(id);
     }
 
     /// Where the first task of a job is placed.
-    pub(crate) fn placed(&self, job: u64) -> Option<MinionId> {
+    pub(crate) fn placement(&self, job: u64) -> Option<MinionId> {
         let found = self.ledger.job(job)?;
         let (_, agent) = found.placements(job).next()?;
         Some(agent)
@@ -905,7 +925,7 @@
     pub(crate) fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            self.step();
+            self.tick();
         }
     }
 
@@ -914,37 +934,40 @@
         let end = self.now + limit;
         while !holds(self) {
             assert!(self.now < end, "in {limit:?}: {what}");
-            self.step();
+            self.tick();
         }
     }
 
-    fn step(&mut self) {
-        self.now += STEP;
+    fn tick(&mut self) {
+        self.now += TICK;
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
             let event = entry.remove();
-            self.take(event);
+            self.handle_event(event);
         }
         self.run_agents();
-        self.run_deadly();
-        let stalled = self.now < self.stalled;
-        if stalled || self.faults.late + self.faults.lost + self.faults.unwell > 0.0 {
-            self.disturbed = self.now;
+        self.run_poison_tasks();
+        let stalled = self.now < self.stalled_until;
+        if stalled
+            || self.faults.late_orders + self.faults.lost_answers + self.faults.unwell_refusals
+                > 0.0
+        {
+            self.disturbed_at = self.now;
         }
         self.check_cancelled();
-        if self.now >= self.beats + BEAT {
-            self.beats = self.now;
+        if self.now >= self.last_heartbeats + HEARTBEAT_INTERVAL {
+            self.last_heartbeats = self.now;
             let agents: Vec<_> = self.agents.keys().cloned().collect();
-            agents.iter().for_each(|id| self.beat(id));
+            agents.iter().for_each(|id| self.send_heartbeat(id));
         }
         match self.processor {
             None => {
                 while self.commit() {}
                 self.decide();
             }
-            Some(processor) => self.work(processor),
+            Some(processor) => self.run_processor(processor),
         }
     }
 
@@ -956,13 +979,15 @@
         };
         self.index += 1;
         let changes = self.ledger.apply(self.index, &command);
-        self.note_cancel(&command);
+        self.record_cancel(&command);
         self.committed.push(command.clone());
         if let Command::Agent(record) = &command
             && record.leaving
             && self.scheduler.is_some()
         {
-            self.told.entry(record.id.clone()).or_insert(self.now);
+            self.leaving_acks
+                .entry(record.id.clone())
+                .or_insert(self.now);
         }
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.apply(self.now, self.now, &self.ledger, &command, &changes);
@@ -971,7 +996,7 @@
     }
 
     /// The ends of hosts are held against nothing that never runs again: it would keep others waiting.
-    fn check_held(&self) {
+    fn check_evidence(&self) {
         let held = self
             .scheduler
             .iter()
@@ -1013,11 +1038,14 @@
 
     /// Has the leader decide; returns how many agents and steps it looked at, and its orders.
     fn decide(&mut self) -> (usize, usize) {
-        self.check_held();
+        self.check_evidence();
         let Some(scheduler) = &mut self.scheduler else {
             return (0, 0);
         };
-        let twin = self.turns.is_multiple_of(TWINS).then(|| scheduler.clone());
+        let twin = self
+            .plans
+            .is_multiple_of(FULL_VISIT_INTERVAL)
+            .then(|| scheduler.clone());
         let plan = scheduler.plan(self.now, self.now, &self.ledger);
         if let Some(mut twin) = twin {
             twin.visit_all();
@@ -1027,8 +1055,8 @@
         }
         self.check_starts(&plan.commands);
         let (looks, orders) = (plan.visits, plan.orders.len());
-        self.looks += looks;
-        self.turns += 1;
+        self.visits += looks;
+        self.plans += 1;
         for command in plan.commands {
             self.propose(command);
         }
@@ -1039,36 +1067,36 @@
     }
 
     /// Lets the leader work until now, one batch of what waits after the other.
-    fn work(&mut self, processor: Processor) {
-        self.sample();
-        self.busy = self.busy.max(self.now.saturating_sub(STEP));
-        while self.busy < self.now {
+    fn run_processor(&mut self, processor: Processor) {
+        self.report_busy();
+        self.busy_until = self.busy_until.max(self.now.saturating_sub(TICK));
+        while self.busy_until < self.now {
             let mut inputs = 0;
-            while inputs < BATCH && (self.commit() || self.take_input()) {
+            while inputs < MAX_INPUT_BATCH && (self.commit() || self.take_input()) {
                 inputs += 1;
             }
             let (looks, orders) = self.decide();
             let times = |span: Duration, count: usize| span * u32::try_from(count).unwrap();
             let work = times(processor.input, inputs)
-                + times(processor.look, looks)
+                + times(processor.visit, looks)
                 + times(processor.order, orders);
-            self.busy += work;
-            self.worked.1 += work;
+            self.busy_until += work;
+            self.work_time.1 += work;
             if inputs == 0 {
                 // It waits for the next input.
-                self.busy = self.busy.max(self.now);
+                self.busy_until = self.busy_until.max(self.now);
             }
         }
     }
 
     /// Tells the leader how much of the time it was busy.
-    fn sample(&mut self) {
-        let (since, worked) = self.worked;
+    fn report_busy(&mut self) {
+        let (since, worked) = self.work_time;
         let span = self.now.saturating_sub(since);
-        if span < SAMPLE {
+        if span < BUSY_SAMPLE_INTERVAL {
             return;
         }
-        self.worked = (self.now, Duration::ZERO);
+        self.work_time = (self.now, Duration::ZERO);
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.record_busy(span, worked.as_secs_f64() / span.as_secs_f64());
         }
@@ -1079,14 +1107,14 @@
             return false;
         };
         match input {
-            Input::Answer(term, order, answer) => self.answered(term, order, answer),
-            Input::Beat(record, clock) => self.heard(&record, clock),
+            Input::Answer(term, order, answer) => self.deliver_answer(term, order, answer),
+            Input::Heartbeat(record, clock) => self.handle_heartbeat(&record, clock),
         }
         true
     }
 
     /// The leader takes an answer in, if it was one to its own order.
-    fn answered(&mut self, term: u64, order: OrderId, answer: Answer) {
+    fn deliver_answer(&mut self, term: u64, order: OrderId, answer: Answer) {
         if term == self.term
             && let Some(scheduler) = &mut self.scheduler
         {
@@ -1094,13 +1122,13 @@
         }
     }
 
-    fn at(&mut self, at: Now, event: Event) {
+    fn schedule(&mut self, at: Now, event: Event) {
         self.serial += 1;
         self.events.insert((at, self.serial), event);
     }
 
     fn send(&mut self, order: Order) {
-        self.check_holder(&order);
+        self.check_handover(&order);
         let kind = metrics::order_label(&order.kind);
         *self.sent.entry(kind).or_default() += 1;
         let wait = match &order.kind {
@@ -1109,8 +1137,8 @@
         };
         let (term, id) = (order.term, order.id);
         // If nothing else answers by then.
-        self.at(
-            self.now + wait + TIMEOUT,
+        self.schedule(
+            self.now + wait + ANSWER_TIMEOUT,
             Event::Answer {
                 term,
                 order: id,
@@ -1123,17 +1151,18 @@
         );
         let agent = self.target(&order);
         let taker = agent.map(|agent| agent.record.id.clone());
-        let stalled = self.now < self.stalled && agent.is_some_and(|agent| is_even(&agent.host));
-        let late = stalled || (to_agent && self.rng.random_bool(self.faults.late));
+        let stalled =
+            self.now < self.stalled_until && agent.is_some_and(|agent| is_even(&agent.host));
+        let late = stalled || (to_agent && self.rng.random_bool(self.faults.late_orders));
         let delay = if stalled {
-            self.stalled.saturating_sub(self.now) + HOP
+            self.stalled_until.saturating_sub(self.now) + ONE_WAY_DELAY
         } else if late {
             Duration::from_secs_f64(self.rng.random_range(2.0..12.0))
         } else {
-            let lag = self.lags.get(kind).copied().unwrap_or_default();
-            HOP + lag + self.lag()
+            let lag = self.order_delays.get(kind).copied().unwrap_or_default();
+            ONE_WAY_DELAY + lag + self.random_jitter()
         };
-        self.at(
+        self.schedule(
             self.now + delay,
             Event::Arrive {
                 order,
@@ -1145,30 +1174,33 @@
     }
 
     /// Two leaders don't take turns on one host.
-    fn check_holder(&mut self, order: &Order) {
+    fn check_handover(&mut self, order: &Order) {
         let (OrderKind::Move { host, .. } | OrderKind::Maintain { host, .. }) = &order.kind else {
             return;
         };
-        if let Some((term, at)) = self.ordered.insert(host.clone(), (order.term, self.now)) {
+        if let Some((term, at)) = self
+            .last_orders
+            .insert(host.clone(), (order.term, self.now))
+        {
             let apart = self.now.saturating_sub(at);
             assert!(
-                term == order.term || apart >= self.holder,
+                term == order.term || apart >= self.handover_delay,
                 "{host} got orders of terms {term} and {} within {apart:?}",
                 order.term
             );
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive {
                 order,
                 silent,
                 astray,
                 taker,
-            } => self.arrive(&order, silent, astray, taker),
-            Event::Waited { order, since, .. } => {
-                let ends = self.reached(&order).map(|agent| agent.number);
+            } => self.receive_order(&order, silent, astray, taker),
+            Event::RenewalTimeout { order, since, .. } => {
+                let ends = self.reachable_target(&order).map(|agent| agent.end_count);
                 if ends == Some(since) {
                     self.report(&order);
                 }
@@ -1178,21 +1210,21 @@
                 order,
                 answer,
             } => match self.processor {
-                None => self.answered(term, order, answer),
+                None => self.deliver_answer(term, order, answer),
                 Some(_) => self.inbox.push_back(Input::Answer(term, order, answer)),
             },
-            Event::Back { host } => {
+            Event::HostUp { host } => {
                 for down in self.down.values_mut() {
                     down.remove(&host);
                 }
                 self.boot(&host);
             }
-            Event::Beat { record, clock } => self.hear(&record, clock),
+            Event::Heartbeat { record, clock } => self.receive_heartbeat(&record, clock),
         }
     }
 
     /// How much longer something takes on its way.
-    fn lag(&mut self) -> Duration {
+    fn random_jitter(&mut self) -> Duration {
         if self.jitter.is_zero() {
             return Duration::ZERO;
         }
@@ -1200,11 +1232,11 @@
         Duration::from_secs_f64(self.rng.random_range(0.0..most))
     }
 
-    fn answer(&mut self, order: &Order, answer: Answer) {
-        if !self.rng.random_bool(self.faults.lost) {
+    fn send_answer(&mut self, order: &Order, answer: Answer) {
+        if !self.rng.random_bool(self.faults.lost_answers) {
             let (term, order) = (order.term, order.id);
-            let delay = self.back + self.lag();
-            self.at(
+            let delay = self.answer_delay + self.random_jitter();
+            self.schedule(
                 self.now + delay,
                 Event::Answer {
                     term,
@@ -1224,9 +1256,9 @@
     }
 
     /// The agent that an order or a look is for, if it gets through.
-    fn reached(&self, order: &Order) -> Option<&Agent> {
+    fn reachable_target(&self, order: &Order) -> Option<&Agent> {
         self.target(order)
-            .filter(|agent| self.now >= agent.cut.max(agent.deaf))
+            .filter(|agent| self.now >= agent.cut_until.max(agent.blocked_until))
     }
 
     /// Whether another incarnation than the one that is meant takes the order.
@@ -1236,24 +1268,35 @@
         };
         let mut agents = self.agents.values();
         agents.any(|other| {
-            let Agent { record, cut, .. } = other;
+            let Agent {
+                record,
+                cut_until: cut,
+                ..
+            } = other;
             record.address == *address && name(&record.id) != name(agent) && self.now >= *cut
         })
     }
 
-    fn arrive(&mut self, order: &Order, silent: bool, astray: bool, taker: Option<MinionId>) {
+    fn receive_order(
+        &mut self,
+        order: &Order,
+        silent: bool,
+        astray: bool,
+        taker: Option<MinionId>,
+    ) {
         match &order.kind {
             OrderKind::Hosts => {
                 let listed = |view: &&HostView| !self.unlisted.contains(&view.host);
                 let hosts = self.hosts.values().filter(listed).cloned().collect();
-                self.answer(order, Answer::Hosts(hosts));
+                self.send_answer(order, Answer::Hosts(hosts));
                 return;
             }
-            OrderKind::Ask { step, agents, .. } => return self.grant(order, *step, agents),
+            OrderKind::Ask { step, agents, .. } => return self.answer_query(order, *step, agents),
             OrderKind::Move { host, pool } => {
                 self.moves += 1;
-                let answer = self.duty(host, |view| view.pool = pool.clone(), HostState::Moving);
-                self.answer(order, answer);
+                let answer =
+                    self.operate_host(host, |view| view.pool = pool.clone(), HostState::Moving);
+                self.send_answer(order, answer);
                 return;
             }
             OrderKind::Maintain { host, wave } => {
@@ -1264,7 +1307,7 @@
                 if up && self.maintained.contains(&(*wave, host.clone())) {
                     // It was done before, and isn't done again.
                     let clock = Duration::ZERO;
-                    self.answer(order, Answer::Done { clock });
+                    self.send_answer(order, Answer::Done { clock });
                     return;
                 }
                 let record = self.ledger.wave_record(*wave).expect("the wave is known");
@@ -1273,13 +1316,13 @@
                 if self.hosts.contains_key(host) && !down.contains(host) {
                     assert!(down.len() < cap, "at most {cap} hosts of a wave are down");
                     down.insert(host.clone());
-                    self.peak = self.peak.max(down.len());
+                    self.peak_down = self.peak_down.max(down.len());
                 }
                 if self.hosts.contains_key(host) {
                     self.maintained.insert((*wave, host.clone()));
                 }
-                let answer = self.duty(host, |_| (), HostState::Maintained);
-                self.answer(order, answer);
+                let answer = self.operate_host(host, |_| (), HostState::Maintained);
+                self.send_answer(order, answer);
                 return;
             }
             _ => {}
@@ -1289,38 +1332,38 @@
         let target = if silent {
             taker.and_then(|taker| self.agents.get(&taker))
         } else {
-            self.reached(order)
+            self.reachable_target(order)
         };
         let Some(agent) = target else {
             if !silent && self.is_elsewhere(order) {
-                self.answer(order, Answer::Elsewhere);
-            } else if !silent && self.resets && self.target(order).is_none() {
-                self.answer(order, Answer::Silent);
+                self.send_answer(order, Answer::Elsewhere);
+            } else if !silent && self.reset_connections && self.target(order).is_none() {
+                self.send_answer(order, Answer::Silent);
             }
             return;
         };
         let id = agent.record.id.clone();
         let clock = agent.clock(now);
-        let token = agent.token;
+        let token = agent.fencing_term;
         if order.term < token && self.fenced {
             let answer = Answer::Refused {
                 why: Refusal::Fence,
                 clock: Some(clock),
             };
             if !silent {
-                self.answer(order, answer);
+                self.send_answer(order, answer);
             }
             return;
         }
         if let Some(agent) = self.agents.get_mut(&id) {
-            agent.token = order.term;
+            agent.fencing_term = order.term;
         }
         let answer = match &order.kind {
             OrderKind::Start(start) => {
                 let before = self.is_running(&id, start);
                 let answer = self.start(&id, start, silent);
                 if !before && !astray && self.is_running(&id, start) {
-                    self.check_notice(&id, start);
+                    self.check_start_window(&id, start);
                 }
                 answer
             }
@@ -1330,26 +1373,26 @@
             } => {
                 self.renew(&id, *acked, *until, silent);
                 let agent = &self.agents[&id];
-                if wait.is_zero() || !agent.ended.is_empty() {
+                if wait.is_zero() || !agent.unacked_ends.is_empty() {
                     if !silent {
                         self.report(order);
                     }
                 } else if !silent {
-                    let since = agent.number;
+                    let since = agent.end_count;
                     let (order, taker) = (order.clone(), id.clone());
-                    let waited = Event::Waited {
+                    let waited = Event::RenewalTimeout {
                         order,
                         since,
                         taker,
                     };
-                    self.at(now + *wait, waited);
+                    self.schedule(now + *wait, waited);
                 }
                 return;
             }
             OrderKind::Throttle { task, percent, .. } => {
                 let agent = self.agents.get_mut(&id);
                 if let Some(run) = agent.and_then(|agent| agent.running.get_mut(task)) {
-                    run.share = *percent;
+                    run.speed_percent = *percent;
                 }
                 Answer::Done { clock }
             }
@@ -1364,19 +1407,19 @@
         );
         // An agent that isn't well has then done nothing, and has noted no term either.
         if unwell && let Some(agent) = self.agents.get_mut(&id) {
-            agent.token = token;
+            agent.fencing_term = token;
         }
         if !silent {
-            self.answer(order, answer);
+            self.send_answer(order, answer);
         }
     }
 
     /// The service answers which agents may run a step: those of every second host.
-    fn grant(&mut self, order: &Order, step: StepId, agents: &[MinionId]) {
-        self.asked += 1;
+    fn answer_query(&mut self, order: &Order, step: StepId, agents: &[MinionId]) {
+        self.service_queries += 1;
         assert!(agents.len() <= 100, "the service takes no longer list");
-        if self.mute {
-            return self.answer(order, Answer::Silent);
+        if self.service_down {
+            return self.send_answer(order, Answer::Silent);
         }
         let count = u32::try_from(agents.len()).unwrap();
         let done = self.now + ELIGIBILITY.per_query + ELIGIBILITY.per_agent * count;
@@ -1397,7 +1440,7 @@
             order,
             answer,
         };
-        self.at(done + HOP, event);
+        self.schedule(done + ONE_WAY_DELAY, event);
     }
 
     /// Whether a start carries a grant that holds, if its queue asks for one.
@@ -1416,7 +1459,7 @@
             })
     }
 
-    fn duty(
+    fn operate_host(
         &mut self,
         host: &HostId,
         change: impl FnOnce(&mut HostView),
@@ -1438,23 +1481,23 @@
         change(view);
         view.state = state;
         view.agent = None;
-        let living = self.living(host);
+        let living = self.incarnation_at(host);
         living.iter().for_each(|id| self.lose_ends(id));
         let agent = living.and_then(|id| self.agents.remove(&id));
         for (task, run) in agent.iter().flat_map(|agent| &agent.running) {
-            self.ended += 1;
+            self.interrupted_runs += 1;
             if run.is_at_work() {
-                self.spend(*task);
+                self.count_disruption(*task);
             }
         }
         let host = host.clone();
-        self.at(self.now + AWAY, Event::Back { host });
+        self.schedule(self.now + HOST_DOWN_TIME, Event::HostUp { host });
         Answer::Done { clock }
     }
 
     fn start(&mut self, id: &MinionId, start: &StartOrder, late: bool) -> Answer {
         let now = self.now;
-        let (longest, fresh) = (self.lease, late && self.faults.lenient);
+        let (longest, fresh) = (self.lease, late && self.faults.lease_from_arrival);
         let job = self
             .ledger
             .job(start.task.step.job)
@@ -1471,13 +1514,15 @@
         let done = job.task(start.task).is_some_and(|task| task.done);
         let open = job.is_ready(start.task.step);
         let granted = self.is_granted(&job.queue, start);
-        let unwell = self.rng.random_bool(self.faults.unwell);
+        let unwell = self.rng.random_bool(self.faults.unwell_refusals);
         let (fails, slow) = (
-            self.rng.random_bool(self.faults.failing),
+            self.rng.random_bool(self.faults.failed_attempts),
             self.rng.random_range(0.8..1.3),
         );
-        let off = if self.faults.off > 1.0 {
-            self.faults.off.powf(self.rng.random_range(-1.0..1.0))
+        let off = if self.faults.estimate_error > 1.0 {
+            self.faults
+                .estimate_error
+                .powf(self.rng.random_range(-1.0..1.0))
         } else {
             1.0
         };
@@ -1503,7 +1548,7 @@
             return refused(Refusal::Grant);
         }
         if agent
-            .over
+            .last_attempts
             .get(&start.task)
             .is_some_and(|over| start.attempt <= *over)
         {
@@ -1514,11 +1559,11 @@
         } else {
             start.until.min(clock + longest)
         };
-        agent.lease = agent.lease.max(until);
+        agent.lease_end = agent.lease_end.max(until);
         if until <= clock {
             return refused(Refusal::Late);
         }
-        if !self.lax {
+        if !self.relaxed_checks {
             let what = format!("{} attempt {} at {id}", start.task, start.attempt);
             assert!(committed, "committed before it is sent: {what}");
             assert!(!elsewhere, "one attempt at a time: {what}");
@@ -1533,24 +1578,24 @@
         let ends = if spec.long_running {
             Duration::MAX
         } else {
-            now + spec.estimate.mul_f64(slow * agent.slow * off)
+            now + spec.estimate.mul_f64(slow * agent.slowdown * off)
         };
         let how = if fails { Ending::Failed } else { Ending::Done };
         let run = Run {
             attempt: start.attempt,
-            began: now,
-            late,
-            room,
-            ends,
-            how,
+            started_at: now,
+            started_late: late,
+            reservation: room,
+            ends_at: ends,
+            ending: how,
             stopping: false,
             percent: 0,
-            share: 100,
+            speed_percent: 100,
             best_effort: spec.best_effort,
-            serves: spec.tail_latency.is_some(),
+            latency_sensitive: spec.tail_latency.is_some(),
         };
         agent.running.insert(start.task, run);
-        self.check_again(id, start);
+        self.check_rerun(id, start);
         self.check_cap(start.task, &room, late);
         *self.starts.entry(start.task).or_default() += 1;
         Answer::Done { clock }
@@ -1558,61 +1603,61 @@
 
     /// What an agent has ended and wasn't told that it is known is lost with it.
     fn lose_ends(&mut self, id: &MinionId) {
-        self.untold.remove(id);
-        self.finished
-            .retain(|_, finish| finish.noted || finish.agent != *id);
+        self.unreported.remove(id);
+        self.completions
+            .retain(|_, finish| finish.acknowledged || finish.agent != *id);
     }
 
     /// A task has begun: not after a run of it has ended well, if that is taken note of then or later.
-    fn check_again(&mut self, id: &MinionId, start: &StartOrder) {
-        let Some(finish) = self.finished.get_mut(&start.task) else {
+    fn check_rerun(&mut self, id: &MinionId, start: &StartOrder) {
+        let Some(finish) = self.completions.get_mut(&start.task) else {
             return;
         };
         let again = (id.clone(), start.attempt, self.now);
-        finish.again.get_or_insert(again);
-        self.repeated.insert(start.task);
-        if finish.noted {
-            self.note_redone(start.task);
+        finish.rerun.get_or_insert(again);
+        self.reruns.insert(start.task);
+        if finish.acknowledged {
+            self.record_rerun(start.task);
         }
     }
 
     /// An agent was told that its ends are known, through this one.
-    fn note_ends(&mut self, id: &MinionId, acked: u64) {
-        let Some(untold) = self.untold.get_mut(id) else {
+    fn acknowledge_ends(&mut self, id: &MinionId, acked: u64) {
+        let Some(untold) = self.unreported.get_mut(id) else {
             return;
         };
         let mut redone = Vec::new();
-        let finished = &mut self.finished;
+        let finished = &mut self.completions;
         untold.retain(|task| {
             let finish = finished.get_mut(task);
             let Some(finish) = finish.filter(|finish| finish.number <= acked) else {
                 return true;
             };
-            finish.noted = true;
-            if finish.again.is_some() {
+            finish.acknowledged = true;
+            if finish.rerun.is_some() {
                 redone.push(*task);
             }
             false
         });
-        redone.into_iter().for_each(|task| self.note_redone(task));
+        redone.into_iter().for_each(|task| self.record_rerun(task));
     }
 
-    fn note_redone(&mut self, task: TaskId) {
-        let Some(finish) = self.finished.get(&task) else {
+    fn record_rerun(&mut self, task: TaskId) {
+        let Some(finish) = self.completions.get(&task) else {
             return;
         };
         let Finish {
             agent,
             attempt,
             at,
-            again,
+            rerun: again,
             ..
         } = finish;
         let what = format!(
             "{task} was done by attempt {attempt} at {agent} at {at:?} and started again: {again:?}"
         );
-        assert!(self.counts || self.lax, "{what}");
-        self.redone.push(what);
+        assert!(self.allow_reruns || self.relaxed_checks, "{what}");
+        self.acknowledged_reruns.push(what);
     }
 
     /// Whether an agent runs the attempt that a start is of.
@@ -1623,13 +1668,13 @@
     }
 
     /// A task has begun: not on an agent whose leaving was acknowledged too long ago.
-    fn check_notice(&self, id: &MinionId, start: &StartOrder) {
-        let Some(told) = self.told.get(id) else {
+    fn check_start_window(&self, id: &MinionId, start: &StartOrder) {
+        let Some(told) = self.leaving_acks.get(id) else {
             return;
         };
         let since = self.now.saturating_sub(*told);
         assert!(
-            since <= NOTICE,
+            since <= START_WINDOW,
             "{} attempt {} begins at {id} {since:?} after its leaving was acknowledged",
             start.task,
             start.attempt
@@ -1642,15 +1687,15 @@
             return Answer::Silent;
         };
         let clock = agent.clock(now);
-        let over = agent.over.entry(task).or_default();
+        let over = agent.last_attempts.entry(task).or_default();
         *over = (*over).max(attempt);
         let run = agent.running.get_mut(&task);
         if let Some(run) = run.filter(|run| run.attempt == attempt) {
             let at_work = run.is_at_work();
-            run.ends = run.ends.min(now + self.stopping);
+            run.ends_at = run.ends_at.min(now + self.stop_time);
             run.stopping = true;
             if at_work {
-                self.spend(task);
+                self.count_disruption(task);
             }
         }
         Answer::Done { clock }
@@ -1658,7 +1703,7 @@
 
     /// An order ends a task that is at work: within the budget of its step, if it lasts and its job
     /// goes on.
-    fn spend(&mut self, task: TaskId) {
+    fn count_disruption(&mut self, task: TaskId) {
         let job = self
             .ledger
             .job(task.step.job)
@@ -1667,56 +1712,58 @@
         let Some(spec) = spec.filter(|spec| spec.long_running) else {
             return;
         };
-        let away = self.taken.iter();
+        let away = self.disrupted.iter();
         let away = away.filter(|other| other.step == task.step && **other != task);
         if away.count() >= usize::try_from(spec.disruption_budget.max(1)).unwrap() {
-            self.overdrawn.push((task, self.now));
+            self.over_budget.push((task, self.now));
         }
-        self.taken.insert(task);
+        self.disrupted.insert(task);
     }
 
     fn renew(&mut self, id: &MinionId, acked: u64, until: Option<AgentTime>, late: bool) {
         let now = self.now;
-        let (longest, fresh) = (self.lease, late && self.faults.lenient);
+        let (longest, fresh) = (self.lease, late && self.faults.lease_from_arrival);
         let known = self.ledger.agent(id).map_or(0, |agent| agent.acked);
         let listed = self.agents.get(id).into_iter();
-        let mut listed = listed.flat_map(|agent| &agent.ended);
+        let mut listed = listed.flat_map(|agent| &agent.unacked_ends);
         assert!(
-            acked <= known || self.lax || listed.all(|end| end.number > acked),
+            acked <= known || self.relaxed_checks || listed.all(|end| end.number > acked),
             "no end is acknowledged before it is committed"
         );
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        let noted = agent.ended.iter().filter(|end| end.number <= acked);
+        let noted = agent.unacked_ends.iter().filter(|end| end.number <= acked);
         for end in noted.filter(|end| end.how == Ending::Failed) {
             *self.failures.entry(end.task).or_default() += 1;
         }
-        agent.ended.retain(|end| end.number > acked);
+        agent.unacked_ends.retain(|end| end.number > acked);
         if let Some(until) = until {
             let most = agent.clock(now) + longest;
-            agent.lease = agent.lease.max(if fresh { most } else { until.min(most) });
+            agent.lease_end = agent
+                .lease_end
+                .max(if fresh { most } else { until.min(most) });
         }
-        self.note_ends(id, acked);
+        self.acknowledge_ends(id, acked);
     }
 
     fn report(&mut self, order: &Order) {
         let now = self.now;
-        let Some(agent) = self.reached(order) else {
+        let Some(agent) = self.reachable_target(order) else {
             return;
         };
-        let tail = agent.tail(self.harm);
+        let tail = agent.tail_latency(self.interference);
         let running = agent.running.iter().map(|(task, run)| Running {
             task: *task,
             attempt: run.attempt,
             checkpoint: None,
             percent: run.percent,
-            measure: run.serves.then_some(tail),
+            measure: run.latency_sensitive.then_some(tail),
         });
         let report = Report {
             clock: agent.clock(now),
             running: running.collect(),
-            ended: agent.ended.clone(),
+            ended: agent.unacked_ends.clone(),
         };
         // The list says whose it is.
         let asked = order.kind.target().map(|to| &to.agent);
@@ -1725,41 +1772,41 @@
         } else {
             Answer::Restarted
         };
-        self.answer(order, answer);
+        self.send_answer(order, answer);
     }
 
     fn run_agents(&mut self) {
         let now = self.now;
         let mut ended = BTreeSet::new();
         for (id, agent) in &mut self.agents {
-            let lapsed = agent.clock(now) >= agent.lease;
+            let lapsed = agent.clock(now) >= agent.lease_end;
             if lapsed {
-                self.untold.remove(id);
+                self.unreported.remove(id);
             }
             let over: Vec<_> = agent
                 .running
                 .iter()
-                .filter(|(_, run)| lapsed || run.ends <= now)
+                .filter(|(_, run)| lapsed || run.ends_at <= now)
                 .map(|(task, _)| *task)
                 .collect();
             for (task, run) in &mut agent.running {
                 run.percent = 100;
                 if !run.stopping {
-                    self.taken.remove(task);
+                    self.disrupted.remove(task);
                 }
             }
             for task in over {
                 let Some(run) = agent.running.remove(&task) else {
                     continue;
                 };
-                agent.number += 1;
-                let how = match (run.ends <= now, run.stopping) {
+                agent.end_count += 1;
+                let how = match (run.ends_at <= now, run.stopping) {
                     (true, true) => Ending::Stopped,
-                    (true, false) => run.how,
+                    (true, false) => run.ending,
                     (false, _) => Ending::Lapsed,
                 };
-                agent.ended.push(Ended {
-                    number: agent.number,
+                agent.unacked_ends.push(Ended {
+                    number: agent.end_count,
                     task,
                     attempt: run.attempt,
                     how,
@@ -1768,58 +1815,62 @@
                 if how == Ending::Done {
                     let finish = Finish {
                         agent: id.clone(),
-                        number: agent.number,
+                        number: agent.end_count,
                         attempt: run.attempt,
                         at: now,
-                        noted: false,
-                        again: None,
+                        acknowledged: false,
+                        rerun: None,
                     };
-                    if let Entry::Vacant(place) = self.finished.entry(task) {
+                    if let Entry::Vacant(place) = self.completions.entry(task) {
                         place.insert(finish);
-                        self.untold.entry(id.clone()).or_default().push(task);
+                        self.unreported.entry(id.clone()).or_default().push(task);
                     }
                 }
-                let last = agent.over.entry(task).or_default();
+                let last = agent.last_attempts.entry(task).or_default();
                 *last = (*last).max(run.attempt);
                 ended.insert(id.clone());
             }
         }
         // A renewal that waits is answered by an end, whichever incarnation it names.
         let waiting = self.events.iter().filter(|(_, event)| match event {
-            Event::Waited { taker, .. } => ended.contains(taker),
+            Event::RenewalTimeout { taker, .. } => ended.contains(taker),
             _ => false,
         });
         let waiting: Vec<_> = waiting.map(|(key, _)| *key).collect();
         for key in waiting {
-            if let Some(Event::Waited { order, .. }) = self.events.remove(&key) {
+            if let Some(Event::RenewalTimeout { order, .. }) = self.events.remove(&key) {
                 self.report(&order);
             }
         }
     }
 
-    fn beat(&mut self, id: &MinionId) {
+    fn send_heartbeat(&mut self, id: &MinionId) {
         let now = self.now;
-        let Some(agent) = self.agents.get_mut(id).filter(|agent| now >= agent.cut) else {
+        let Some(agent) = self
+            .agents
+            .get_mut(id)
+            .filter(|agent| now >= agent.cut_until)
+        else {
             return;
         };
         agent.record.sequence += 1;
         let (record, clock) = (agent.record.clone(), agent.clock(now));
-        self.hear(&record, clock);
+        self.receive_heartbeat(&record, clock);
     }
 
     /// A heartbeat reaches the leader.
-    fn hear(&mut self, record: &AgentRecord, clock: AgentTime) {
+    fn receive_heartbeat(&mut self, record: &AgentRecord, clock: AgentTime) {
         match self.processor {
-            None => self.heard(record, clock),
+            None => self.handle_heartbeat(record, clock),
             Some(_) => {
                 let record = Box::new(record.clone());
-                self.inbox.push_back(Input::Beat(record, clock));
+                self.inbox.push_back(Input::Heartbeat(record, clock));
             }
         }
     }
 
     /// The leader, if there is one, takes a heartbeat in.
-    fn heard(&mut self, record: &AgentRecord, clock: AgentTime) {
+    fn handle_heartbeat(&mut self, record: &AgentRecord, clock: AgentTime) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
@@ -1832,7 +1883,9 @@
                 "the leaving of {} is committed before it is acknowledged",
                 record.id
             );
-            self.told.entry(record.id.clone()).or_insert(self.now);
+            self.leaving_acks
+                .entry(record.id.clone())
+                .or_insert(self.now);
         }
     }
 }
@@ -1840,7 +1893,7 @@
 /// The name of the agent of an incarnation.
 fn name(incarnation: &str) -> &str {
     incarnation
-        .split_once(BORN)
+        .split_once(INCARNATION_SEPARATOR)
         .map_or(incarnation, |(name, _)| name)
 }
 
@@ -1857,7 +1910,7 @@
 }
 
 /// A step that lasts, its tasks on hosts of their own.
-pub(crate) fn lasting(tasks: u32, cores: u64) -> StepSpec {
+pub(crate) fn long_running(tasks: u32, cores: u64) -> StepSpec {
     let mut step = step(tasks, cores, 900);
     step.long_running = true;
     step.per_host = Some(1);
