--- a/tests/workload/world.rs
+++ b/tests/workload/world.rs
@@ -1,8 +1,14 @@
-//! A leader with its log, and agents that keep to their protocol, in logical time.
+//! A simulated cluster in logical time: a leader with its log, the agents, and the provider of the
+//! hosts.
 //!
-//! The agents check what they are told: whoever starts a task twice at once, before the steps
-//! before it, without a committed attempt or beyond the room fails the test. So does whoever starts one
-//! after a run of it has ended well, if that is taken note of then or later.
+//! The world drives the real scheduler and ledger. It simulates the commits, the network, and
+//! agents that follow their protocol, with random faults from a seed. No real time passes, no
+//! thread is started and no message is sent.
+//!
+//! The agents check the orders that they receive. The test fails if a start would run a task twice
+//! at once, run it before the steps that it depends on are done, run it without a committed
+//! attempt, or exceed the capacity of the agent. It also fails if a task is started again after a
+//! run of it completed, if the end of that run is acknowledged before or after the start.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque, btree_map::Entry},
@@ -36,51 +42,55 @@
 pub(crate) const OTHER_POOL: &str = "other";
 pub(crate) const SPARE_POOL: &str = "spare";
 pub(crate) const QUEUE: &str = "queue";
-/// The queue of the other pool.
+/// The queue of [`OTHER_POOL`].
 pub(crate) const OTHER_QUEUE: &str = "second";
-/// A queue of the first pool that may use every second host only; a service knows that.
+/// A queue of [`POOL`] that may use only every second host. The scheduler has to ask the
+/// eligibility service which hosts those are.
 pub(crate) const RESTRICTED_QUEUE: &str = "guided";
-/// What it takes to ask the service.
+/// The cost of a query to the eligibility service, and how long its grants are valid.
 const ELIGIBILITY: Eligibility = Eligibility {
     per_query: ms(40),
     per_agent: ms(5),
     valid_for: ms(3000),
 };
-/// Turns of a leader from one that is compared with that of a twin which looks at every agent, and not
-/// only at those that something is known to be due for, to the next.
+/// Every so many calls of [`Scheduler::plan`], the result is compared with that of a clone of the
+/// scheduler that visits all agents, and not only those that are known to have something due.
 const FULL_VISIT_INTERVAL: usize = 7;
-/// One step of time.
+/// The step of logical time.
 const TICK: Duration = Duration::from_millis(5);
-/// From a proposal to its commit.
+/// The time from a proposal to its commit.
 const COMMIT_DELAY: Duration = Duration::from_millis(8);
-/// One way between leader and agent.
+/// The time that a message takes from the leader to an agent or back.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
-/// How long the leader waits for an answer beyond what it asked to wait.
+/// How long the leader waits for an answer, in addition to the wait that the order itself asks for.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// A stop takes so long, unless a world says otherwise.
+/// How long a stop takes, unless a test sets [`World::stop_time`].
 const STOP_TIME: Duration = Duration::from_millis(300);
-/// How long a deadly task runs before it ends its host, unless a world says otherwise.
+/// How long a poison task runs before it crashes its host, unless a test sets
+/// [`World::poison_delays`].
 const POISON_DELAY: Duration = ms(20);
-/// Hosts that may end under a task before it is started no more.
+/// The number of hosts that may be lost under a task before the task is no longer started.
 pub(crate) const MAX_LOST_HOSTS: u32 = 3;
-/// Stands between the name of an agent and what tells its incarnations apart.
+/// Separates the name of an agent from the number of its incarnation.
 const INCARNATION_SEPARATOR: char = '@';
-/// How long a host is away for its maintenance, a move or a restart.
+/// How long a host is down for maintenance, a move or a restart.
 const HOST_DOWN_TIME: Duration = Duration::from_millis(1800);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
-/// The longest lease that an agent takes.
+/// The longest lease that an agent accepts.
 const MAX_LEASE: Duration = ms(6000);
-/// By when nothing of a job that was cancelled runs, counted from its cancel.
+/// How long after its cancellation a job's tasks may still run.
 const CANCEL_LIMIT: Duration = ms(3900);
-/// And counted from a start that was carried out late, or the last disturbance: what is steady
-/// again after three seconds has as long as ever.
+/// The same limit, counted from a start that was carried out late or from the last disturbance. The
+/// cluster is taken to be steady three seconds after a disturbance, and then has [`CANCEL_LIMIT`]
+/// again.
 const DISTURBED_CANCEL_LIMIT: Duration = ms(6900);
-/// How long after its leaving was acknowledged an agent may still begin what it was told to start.
+/// How long a start may still begin at an agent after the agent was notified that its leaving is
+/// known.
 pub(crate) const START_WINDOW: Duration = ms(2000);
-/// How long a job that is over is known.
+/// How long a job that has ended is kept.
 pub(crate) const RETENTION: Duration = Duration::from_secs(120);
 
-/// How long after it was decided a start may begin, and how long if it is carried out late.
+/// How long after its decision a start may begin: in general, and if it is carried out late.
 const MAX_START_DELAY: Duration = ms(1500);
 const MAX_LATE_START_DELAY: Duration = ms(14_000);
 
@@ -88,56 +98,59 @@
     Duration::from_millis(ms)
 }
 
-/// What goes wrong, and how often.
+/// Which faults are injected. A `f64` is a probability unless its comment says otherwise.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
-    /// Answers of agents that are lost.
+    /// An answer of an agent or of the provider is lost.
     pub(crate) lost_answers: f64,
-    /// Orders to agents that get no answer and are carried out two to twelve seconds later.
+    /// An order to an agent gets no answer and is carried out two to twelve seconds later.
     pub(crate) late_orders: f64,
-    /// Whether leases that come late count from when they come.
+    /// Whether an agent counts a lease that arrives late from its arrival, so that it outlives what
+    /// the leader assumes.
     pub(crate) lease_from_arrival: bool,
-    /// Attempts that fail.
+    /// An attempt fails.
     pub(crate) failed_attempts: f64,
-    /// Starts that an agent refuses because it isn't well.
+    /// An agent refuses a start because it isn't healthy.
     pub(crate) unwell_refusals: f64,
-    /// How far off estimates are: tasks take up to this many times as long, or that part of it.
+    /// The factor by which estimates are wrong, not a probability: a task takes up to this many
+    /// times its estimate, or down to the reciprocal of that.
     pub(crate) estimate_error: f64,
-    /// Incarnations that end of which a heartbeat comes up to twenty seconds later.
+    /// A heartbeat of an incarnation that has ended arrives up to twenty seconds later.
     pub(crate) late_heartbeats: f64,
 }
 
-/// What the leader's processor takes for what it does, as measured where one was full with 350 agents.
+/// The processor time that the leader takes for its work, for instance as measured with 350 agents
+/// on a processor that was fully busy.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Processor {
-    /// Taking an input in, or applying a commit.
+    /// Handling an input or applying a commit.
     pub(crate) input: Duration,
-    /// Looking at an agent, or at a step that waits.
+    /// Visiting an agent or a step that waits.
     pub(crate) visit: Duration,
     /// Sending an order and reading its answer.
     pub(crate) order: Duration,
 }
 
-/// Inputs that a leader with a processor takes in before it decides.
+/// The most inputs that a leader with a [`Processor`] handles between two decisions.
 const MAX_INPUT_BATCH: usize = 256;
 
-/// From one look at how busy it was to the next.
+/// The interval at which the leader is told how busy it was.
 const BUSY_SAMPLE_INTERVAL: Duration = ms(100);
 
-/// A run that ended well at an agent, whose end may have been taken note of.
+/// A completed run at an agent. The leader may have acknowledged its end.
 #[derive(Clone, Debug)]
 struct Finish {
     agent: MinionId,
     number: u64,
     attempt: u32,
     at: Now,
-    /// Whether its agent was told that it is known.
+    /// Whether the end was acknowledged to the agent.
     acknowledged: bool,
-    /// The first start after it: where, which attempt, and when.
+    /// The first start of the task after it: the agent, the attempt and the time.
     rerun: Option<(MinionId, u32, Now)>,
 }
 
-/// What waits for a leader with a processor.
+/// An input that waits until a leader with a [`Processor`] has time for it.
 enum Input {
     Answer(u64, OrderId, Answer),
     Heartbeat(Box<AgentRecord>, AgentTime),
@@ -145,16 +158,15 @@
 
 struct Run {
     attempt: u32,
-    /// When it began.
     started_at: Now,
-    /// Whether its start came late.
+    /// Whether its start was carried out late.
     started_late: bool,
     reservation: Resources,
     ends_at: Now,
     ending: Ending,
     stopping: bool,
     percent: u32,
-    /// The hundredths of its speed that it works at.
+    /// The speed at which it works, in percent of its full speed.
     speed_percent: u8,
     best_effort: bool,
     latency_sensitive: bool,
@@ -170,20 +182,20 @@
     pub(crate) record: AgentRecord,
     pub(crate) host: HostId,
     booted_at: Now,
-    /// How fast its clock runs.
+    /// The speed of its clock relative to the world's.
     clock_rate: f64,
     fencing_term: u64,
     lease_end: AgentTime,
     running: BTreeMap<TaskId, Run>,
-    /// The last attempt of each task that was stopped or ended here.
+    /// The last attempt of each task that was stopped or has ended here.
     last_attempts: BTreeMap<TaskId, u32>,
     unacked_ends: Vec<Ended>,
     end_count: u64,
-    /// Until when nothing gets through.
+    /// Until then the network delivers nothing to or from the agent.
     cut_until: Now,
-    /// Until when no order gets through, while its heartbeats do.
+    /// Until then the network delivers no orders to the agent, while its heartbeats arrive.
     blocked_until: Now,
-    /// How many times as long its tasks take; without an end if so many that it stands still.
+    /// The factor by which its tasks take longer than elsewhere. A huge one makes them hang.
     pub(crate) slowdown: f64,
 }
 
@@ -192,15 +204,15 @@
         now.saturating_sub(self.booted_at).mul_f64(self.clock_rate) + ms(5000)
     }
 
-    /// The tail latency of what serves here, in milliseconds: ten, and more for each best-effort
-    /// task at full speed.
-    pub(crate) fn tail_latency(&self, harm: f64) -> f64 {
+    /// The tail latency of the latency-sensitive tasks here, in milliseconds: ten, plus
+    /// `interference` for each best-effort task at full speed.
+    pub(crate) fn tail_latency(&self, interference: f64) -> f64 {
         let others = self.running.values().filter(|run| run.best_effort);
         let shares: f64 = others.map(|run| f64::from(run.speed_percent) / 100.0).sum();
-        10.0 + harm * shares
+        10.0 + interference * shares
     }
 
-    /// Whether it runs anything.
+    /// Whether it runs any task.
     pub(crate) fn is_busy(&self) -> bool {
         !self.running.is_empty()
     }
@@ -212,15 +224,15 @@
 }
 
 enum Event {
-    /// An order arrives at an agent or the provider.
+    /// An order arrives at an agent, the provider or the eligibility service.
     Arrive {
         order: Order,
-        /// Whether it got no answer and is carried out late.
-        silent: bool,
-        /// Whether that is the agent's doing, and not a relay's.
-        astray: bool,
-        /// Which incarnation got it then.
-        taker: Option<MinionId>,
+        /// Whether it gets no answer and is carried out late.
+        unanswered: bool,
+        /// Whether the agent is the cause of the delay. Otherwise a relay is.
+        delayed_by_agent: bool,
+        /// The incarnation at the target when the order was sent.
+        recipient: Option<MinionId>,
     },
     /// An answer arrives at the leader of a term.
     Answer {
@@ -228,15 +240,16 @@
         order: OrderId,
         answer: Answer,
     },
-    /// A renewal has waited long enough for an end, at an incarnation that had ended so many runs.
+    /// The wait of a renewal for the end of a run has expired, at an incarnation that had ended
+    /// `since` runs when the wait began.
     RenewalTimeout {
         order: Order,
         since: u64,
-        taker: MinionId,
+        recipient: MinionId,
     },
-    /// A host is back in a pool.
+    /// A host is up again in its pool.
     HostUp { host: HostId },
-    /// A heartbeat that was under way for long arrives.
+    /// A delayed heartbeat arrives.
     Heartbeat {
         record: Box<AgentRecord>,
         clock: AgentTime,
@@ -250,52 +263,54 @@
     pub(crate) agents: BTreeMap<MinionId, Agent>,
     pub(crate) hosts: BTreeMap<HostId, HostView>,
     pub(crate) faults: Faults,
-    /// Orders that were sent, by kind.
+    /// The number of orders that were sent, by kind.
     pub(crate) sent: BTreeMap<&'static str, usize>,
-    /// Hosts that the provider's lists lack though they are there.
+    /// Hosts that are missing from the provider's lists though they exist.
     pub(crate) unlisted: BTreeSet<HostId>,
-    /// Runs that orders about their hosts ended.
+    /// The number of runs that were interrupted by orders about their hosts.
     pub(crate) interrupted_runs: usize,
-    /// How long a stop takes.
     pub(crate) stop_time: Duration,
-    /// The part of the agents that start again under the id that they had.
+    /// The probability that an agent is started under its host's name, which a later incarnation
+    /// can share. Otherwise the agent gets a name of its own.
     pub(crate) id_reuse: f64,
-    /// Whether those are heard with the next round of heartbeats only, and not at once; a new leader hears
-    /// all agents only then, too.
+    /// Whether such an agent sends its first heartbeat only with the next periodic round and not at
+    /// once. A new leader, too, then receives the agents' heartbeats only with that round.
     pub(crate) defer_heartbeats: bool,
-    /// One way from an agent to the leader.
+    /// How long an answer takes from an agent to the leader.
     pub(crate) answer_delay: Duration,
-    /// How much longer orders of a kind take to an agent.
+    /// The additional time that orders of a kind take to reach an agent.
     pub(crate) order_delays: BTreeMap<&'static str, Duration>,
-    /// How much longer each order and each answer may take, so that they overtake each other.
+    /// The most random time that is added to each order and each answer, so that they overtake each
+    /// other.
     pub(crate) jitter: Duration,
-    /// How long a host that ended by itself is away.
+    /// How long a host that crashed is down.
     pub(crate) down_time: Duration,
-    /// Lasting tasks that orders ended and that aren't at work again.
+    /// Long-running tasks that were stopped by orders and aren't at work again.
     disrupted: BTreeSet<TaskId>,
-    /// Lasting tasks that were ended at work while as many others of their steps were away as may
-    /// be, and when.
+    /// Long-running tasks that were stopped while at work although the disruption budget of their
+    /// step was used up, and when.
     pub(crate) over_budget: Vec<(TaskId, Now)>,
     /// Hosts that were removed for good.
     pub(crate) removed: BTreeSet<HostId>,
-    /// The last term in which each host got an order, and when.
+    /// The term and the time of the last order about each host.
     last_orders: BTreeMap<HostId, (u64, Now)>,
-    /// How long the orders of two leaders about one host must be apart.
+    /// The time that must pass between the orders of two leaders about one host.
     pub(crate) handover_delay: Duration,
-    /// Hosts whose maintenance was begun, by wave.
+    /// Hosts whose maintenance has started, with the wave.
     pub(crate) maintained: BTreeSet<(WaveId, HostId)>,
-    /// Hosts down for each wave now, and the most at once.
+    /// The hosts that are down for each wave now, and the most of one wave that were down at once.
     down: BTreeMap<WaveId, BTreeSet<HostId>>,
     pub(crate) peak_down: usize,
     pub(crate) moves: usize,
-    /// Grants that were given, for which step and agent, and until when they hold.
+    /// The grants that the eligibility service issued: the step, the agent, and when they expire.
     grants: BTreeMap<Name, (StepId, MinionId, Now)>,
-    /// Questions to the service, and whether it answers.
+    /// The number of queries to the eligibility service, and whether the service is down.
     pub(crate) service_queries: usize,
     pub(crate) service_down: bool,
-    /// What each best-effort task at full speed adds to the tails beside it, in milliseconds.
+    /// By how much each best-effort task at full speed raises the tail latency beside it, in
+    /// milliseconds.
     pub(crate) interference: f64,
-    /// Starts of each task.
+    /// The number of starts of each task.
     pub(crate) starts: BTreeMap<TaskId, u32>,
     catalog: Arc<Catalog>,
     term: u64,
@@ -306,76 +321,82 @@
     boots: u32,
     rng: Pcg64Mcg,
     last_heartbeats: Now,
-    /// The longest lease that agents take and the next leader gives.
+    /// The longest lease that agents accept and the next leader grants.
     pub(crate) lease: Duration,
-    /// When each job was cancelled, as far as it was.
+    /// When each cancelled job was cancelled.
     cancelled_at: BTreeMap<u64, Now>,
-    /// When orders or answers last went astray, a leader began, or an agent was taken for gone.
+    /// When orders or answers were last lost or late, a leader started, or an agent was taken for
+    /// lost.
     disturbed_at: Now,
-    /// Whether agents check no more than what is asked of cancelled jobs: where ones that live are
-    /// taken for gone, or leases outlive what leaders count, a task may run twice at once.
+    /// Whether only the checks for cancelled jobs are made. Where running agents are taken for
+    /// lost, or leases outlive what leaders assume, a task may run twice at once.
     pub(crate) relaxed_checks: bool,
-    /// Which protections the next leader has.
+    /// The protections that are on for the next leader.
     pub(crate) protections: Protections,
     /// The workspace that jobs are submitted for.
     pub(crate) workspace: Option<WorkspaceId>,
-    /// The caps of workspaces, and since when each was in force.
+    /// The caps of workspaces, and when each came into force.
     caps: Vec<(Now, WorkspaceId, Cap)>,
-    /// The most that a workspace had running beyond its cap when a task started, in thousandths of a core.
+    /// The most by which a workspace exceeded its cap when a task started, in thousandths of a
+    /// core.
     pub(crate) cap_excess: u64,
-    /// What was committed, in order.
+    /// The committed commands, in order.
     pub(crate) committed: Vec<Command>,
-    /// What the leader's processor takes; no time at all if not given.
+    /// The costs of the leader's processor; without it the leader's work takes no time.
     pub(crate) processor: Option<Processor>,
     inbox: VecDeque<Input>,
-    /// Until when the leader is busy, and how much of the time since then it was.
+    /// Until when the leader is busy; and the start of the current sample with the work done since
+    /// then.
     busy_until: Now,
     work_time: (Now, Duration),
-    /// Until when the relay of every second host stands still; then it carries out what it got meanwhile.
+    /// Until then the relay of every second host is stalled. Afterwards it carries out the orders
+    /// that it received meanwhile.
     pub(crate) stalled_until: Now,
-    /// Whether agents refuse what leaders of earlier terms order.
+    /// Whether agents refuse orders of leaders of earlier terms.
     pub(crate) fenced: bool,
-    /// Whether connections to an agent that dies are reset, and not silent.
+    /// Whether connections to an agent that crashes are reset. Otherwise they stay silent.
     pub(crate) reset_connections: bool,
-    /// Jobs with tasks that end the hosts that run them: how many of each step, the first ones.
+    /// Jobs with poison tasks: in each step so many of the first tasks crash the hosts that run
+    /// them.
     pub(crate) poison_tasks: BTreeMap<u64, u32>,
-    /// How long deadly tasks run before they end their hosts: from the one to the other, each task always
-    /// equally long.
+    /// The shortest and the longest time that poison tasks run before they crash their hosts. It is
+    /// always the same for a task.
     pub(crate) poison_delays: (Duration, Duration),
-    /// The hosts that a deadly task ends at most; then it is like any other.
+    /// The most hosts that a poison task crashes; after that it is harmless.
     pub(crate) max_kills: u32,
-    /// The hosts that each deadly task has ended.
+    /// The number of hosts that each poison task has crashed.
     pub(crate) hosts_killed: BTreeMap<TaskId, u32>,
-    /// The hosts that ended by themselves or by the doing of others while each task ran there, its own
-    /// among them.
+    /// The number of hosts that crashed while each task ran there, whatever the cause: those that
+    /// the task itself crashed are included.
     pub(crate) host_losses: BTreeMap<TaskId, u32>,
-    /// Agents and waiting steps that the leader looked at, and turns in which it decided.
+    /// The number of visits of the leader to agents and waiting steps, and of calls of
+    /// [`Scheduler::plan`].
     pub(crate) visits: usize,
     pub(crate) plans: usize,
-    /// When the leaving of agents was acknowledged to them.
+    /// When each leaving agent was notified that its leaving is known.
     leaving_acks: BTreeMap<MinionId, Now>,
-    /// Runs that ended well, by task, but for those whose ends were lost with their agents.
+    /// The completed runs by task, except those whose ends were lost with their agents.
     completions: BTreeMap<TaskId, Finish>,
-    /// Those of each agent that may still be taken note of.
+    /// The tasks of each agent with a completed run whose end isn't acknowledged yet.
     unreported: BTreeMap<MinionId, Vec<TaskId>>,
-    /// Runs of each task that failed, as far as that was taken note of.
+    /// The number of failed runs of each task whose ends were acknowledged.
     pub(crate) failures: BTreeMap<TaskId, u32>,
-    /// Tasks that were started after a run of theirs had ended well, and that end was taken note of.
+    /// Descriptions of tasks that were started after a completed run whose end is acknowledged.
     pub(crate) acknowledged_reruns: Vec<String>,
-    /// Tasks that were started after a run of theirs had ended well at an agent that still lived then,
-    /// whether or not that was taken note of.
+    /// Tasks that were started after a run of theirs had completed at an agent that was still
+    /// running then, whether or not the end was acknowledged.
     pub(crate) reruns: BTreeSet<TaskId>,
-    /// Whether a test looks at these itself; what was redone fails the test otherwise.
+    /// Whether the test itself checks `acknowledged_reruns`. Otherwise each of them fails the test.
     pub(crate) allow_reruns: bool,
 }
 
 impl World {
-    /// A pool of so many hosts with 8 cores, two a rack, and a leader.
+    /// Creates a world with a leader and a pool of so many hosts with 8 cores each, two per rack.
     pub(crate) fn new(hosts: usize, seed: u64) -> Self {
         Self::with_lease(hosts, seed, MAX_LEASE)
     }
 
-    /// The same with agents that take leases of such a length.
+    /// The same with agents that accept leases up to this length.
     pub(crate) fn with_lease(hosts: usize, seed: u64, lease: Duration) -> Self {
         let queue = |name: &str, pool: &str| QueueSpec {
             name: name.into(),
@@ -483,20 +504,20 @@
         world
     }
 
-    /// A host with a lasting task that serves and a best-effort one beside it: it is the only one, so
-    /// that they can't keep apart.
+    /// Creates a world of one host that runs a latency-sensitive long-running task beside a
+    /// best-effort one. There is no other host on which to keep them apart.
     pub(crate) fn with_best_effort(seed: u64) -> Self {
         let mut world = Self::new(1, seed);
-        let mut serving = long_running(1, 2);
-        serving.tail_latency = Some(ms(50));
-        let mut filling = long_running(1, 2);
-        filling.best_effort = true;
-        world.submit(1, JobSpec::new("x", vec![serving, filling]));
+        let mut latency_sensitive = long_running(1, 2);
+        latency_sensitive.tail_latency = Some(ms(50));
+        let mut other = long_running(1, 2);
+        other.best_effort = true;
+        world.submit(1, JobSpec::new("x", vec![latency_sensitive, other]));
         world.until("both run", ms(2000), |world| world.runs(1).len() == 2);
         world
     }
 
-    /// The highest tail latency of what serves, in milliseconds.
+    /// The highest tail latency of any agent, in milliseconds.
     pub(crate) fn tail_latency(&self) -> f64 {
         let agents = self.agents.values();
         agents
@@ -517,7 +538,8 @@
         self.boot(&host.into());
     }
 
-    /// A new incarnation of a host's agent, at an address of its own, unless it is a spare.
+    /// Starts a new incarnation of a host's agent at a new address. A host of the spare pool has no
+    /// agent.
     fn boot(&mut self, host: &HostId) {
         let port = 1001 + u16::try_from(self.boots).unwrap();
         self.boot_at(host, ([127, 0, 0, 1], port).into());
@@ -525,7 +547,7 @@
 
     fn boot_at(&mut self, host: &HostId, address: SocketAddr) {
         let rack = host[1..].parse::<usize>().unwrap_or(0) / 2;
-        let keeps = self.id_reuse > 0.0 && self.rng.random_bool(self.id_reuse);
+        let keeps_name = self.id_reuse > 0.0 && self.rng.random_bool(self.id_reuse);
         let Some(view) = self.hosts.get_mut(host) else {
             return;
         };
@@ -534,12 +556,12 @@
             return;
         }
         self.boots += 1;
-        let name: Name = if keeps {
+        let name: Name = if keeps_name {
             host.clone()
         } else {
             format!("{host}-{}", self.boots).into()
         };
-        let id: MinionId = if keeps {
+        let id: MinionId = if keeps_name {
             format!("{name}{INCARNATION_SEPARATOR}{}", self.boots).into()
         } else {
             name.clone()
@@ -561,12 +583,12 @@
             acked: 0,
             sequence: 0,
         };
-        let rate = 1.0 - self.rng.random_range(0.0..0.02);
+        let clock_rate = 1.0 - self.rng.random_range(0.0..0.02);
         let agent = Agent {
             record,
             host: host.clone(),
             booted_at: self.now,
-            clock_rate: rate,
+            clock_rate,
             fencing_term: 0,
             lease_end: Duration::ZERO,
             running: BTreeMap::new(),
@@ -578,12 +600,12 @@
             slowdown: 1.0,
         };
         self.agents.insert(id.clone(), agent);
-        if !(keeps && self.defer_heartbeats) {
+        if !(keeps_name && self.defer_heartbeats) {
             self.send_heartbeat(&id);
         }
     }
 
-    /// A new leader, in a new term.
+    /// Starts a new leader in a new term.
     pub(crate) fn lead(&mut self) {
         self.term += 1;
         self.disturbed_at = self.now;
@@ -613,7 +635,8 @@
         agents.iter().for_each(|id| self.send_heartbeat(id));
     }
 
-    /// The leader is gone: a part of what it proposed last is committed, in order.
+    /// Removes the leader. A random number of its first pending proposals is committed, in order;
+    /// the rest is lost.
     pub(crate) fn depose(&mut self) {
         self.scheduler = None;
         let kept = self.rng.random_range(0..=self.log.len());
@@ -632,7 +655,7 @@
         }
     }
 
-    /// Nothing of a cancelled job runs for long, wherever it came from.
+    /// Checks that nothing of a cancelled job runs beyond its limit, whatever started it.
     fn check_cancelled(&self) {
         if self.scheduler.is_none() {
             return;
@@ -651,7 +674,7 @@
                 let limit = (*cancelled + CANCEL_LIMIT).max(disturbed + DISTURBED_CANCEL_LIMIT);
                 assert!(
                     self.now <= limit,
-                    "{task} attempt {} of a job cancelled at {cancelled:?} runs on at {id} at {:?}, begun at {:?}, late: {}",
+                    "{task} attempt {} of a job cancelled at {cancelled:?} still runs at {id} at {:?}, started at {:?}, late: {}",
                     run.attempt,
                     self.now,
                     run.started_at,
@@ -661,7 +684,7 @@
         }
     }
 
-    /// A cap for a workspace, in force at once.
+    /// Sets a cap for a workspace, in force at once.
     pub(crate) fn set_cap(&mut self, workspace: &str, cores: u64) {
         let cap = Cap(Resources {
             millicores: cores * 1000,
@@ -683,7 +706,8 @@
         }
     }
 
-    /// Thousandths of a core that a workspace has running, what is being stopped among it.
+    /// The thousandths of a core that a workspace's running tasks use, including tasks that are
+    /// being stopped.
     pub(crate) fn running_millicores(&self, workspace: &str) -> u64 {
         let runs = self.agents.values().flat_map(|agent| &agent.running);
         let own = runs.filter(|(task, _)| {
@@ -693,30 +717,30 @@
         own.map(|(_, run)| run.reservation.millicores).sum()
     }
 
-    /// A task of a workspace has started: within the highest cap that its start may have been decided by, or
-    /// alone.
+    /// Records by how much a workspace exceeds its cap as a task starts. The highest cap counts
+    /// under which the start may have been decided, and a task that runs alone may exceed it.
     fn check_cap(&mut self, task: TaskId, room: &Resources, late: bool) {
         let job = self.ledger.job(task.step.job);
         let Some(workspace) = job.and_then(|job| job.workspace.clone()) else {
             return;
         };
-        let within = if late {
+        let max_delay = if late {
             MAX_LATE_START_DELAY
         } else {
             MAX_START_DELAY
         };
-        let since = self.now.saturating_sub(within);
-        let own = self.caps.iter().filter(|(_, name, _)| *name == workspace);
-        let own: Vec<_> = own.collect();
-        let ends = own.iter().skip(1).map(|(at, ..)| *at).chain([Now::MAX]);
-        let caps = own.iter().zip(ends).filter(|(_, end)| *end >= since);
-        let most = caps.map(|((.., cap), _)| cap.0.millicores).max();
-        let (most, running) = (
-            most.unwrap_or_default(),
+        let since = self.now.saturating_sub(max_delay);
+        let caps = self.caps.iter().filter(|(_, name, _)| *name == workspace);
+        let caps: Vec<_> = caps.collect();
+        let ends = caps.iter().skip(1).map(|(at, ..)| *at).chain([Now::MAX]);
+        let valid = caps.iter().zip(ends).filter(|(_, end)| *end >= since);
+        let max_cap = valid.map(|((.., cap), _)| cap.0.millicores).max();
+        let (max_cap, running) = (
+            max_cap.unwrap_or_default(),
             self.running_millicores(&workspace),
         );
-        if most > 0 && running > room.millicores {
-            self.cap_excess = self.cap_excess.max(running.saturating_sub(most));
+        if max_cap > 0 && running > room.millicores {
+            self.cap_excess = self.cap_excess.max(running.saturating_sub(max_cap));
         }
     }
 
@@ -741,12 +765,18 @@
         self.log.push_back((self.now + COMMIT_DELAY, command));
     }
 
-    pub(crate) fn start_wave(&mut self, wave: WaveId, hosts: &[&str], cap: u32, within: Duration) {
+    pub(crate) fn start_wave(
+        &mut self,
+        wave: WaveId,
+        hosts: &[&str],
+        max_concurrent: u32,
+        time_limit: Duration,
+    ) {
         self.propose(Command::Wave(WaveRecord {
             wave,
             remaining: hosts.iter().map(|host| HostId::from(*host)).collect(),
-            max_concurrent: cap,
-            deadline: self.now + within,
+            max_concurrent,
+            deadline: self.now + time_limit,
         }));
     }
 
@@ -754,14 +784,14 @@
         self.ledger.job(job).map(|job| job.state)
     }
 
-    /// The incarnation that lives at a host.
+    /// The incarnation that runs at a host.
     pub(crate) fn incarnation_at(&self, host: &HostId) -> Option<MinionId> {
         let mut agents = self.agents.iter();
-        let living = agents.find(|(_, agent)| agent.host == *host);
-        living.map(|(id, _)| id.clone())
+        let found = agents.find(|(_, agent)| agent.host == *host);
+        found.map(|(id, _)| id.clone())
     }
 
-    /// An agent dies; its provider knows.
+    /// Crashes an agent; the provider lists its host as down.
     pub(crate) fn crash(&mut self, id: &MinionId) {
         let Some(agent) = self.agents.remove(id) else {
             return;
@@ -773,7 +803,7 @@
         }
     }
 
-    /// An agent dies, and its host comes back.
+    /// Crashes an agent; its host comes back after [`World::down_time`].
     pub(crate) fn restart(&mut self, id: &MinionId) {
         let Some(agent) = self.agents.get(id) else {
             return;
@@ -801,7 +831,7 @@
         }
     }
 
-    /// Ends the hosts on which deadly tasks have run for long enough.
+    /// Crashes the hosts on which poison tasks have run for long enough.
     fn run_poison_tasks(&mut self) {
         let now = self.now;
         let mut ended: BTreeMap<MinionId, Vec<TaskId>> = BTreeMap::new();
@@ -825,7 +855,7 @@
         }
     }
 
-    /// How long a deadly task runs before it ends its host.
+    /// How long this poison task runs before it crashes its host.
     fn poison_delay(&self, task: TaskId) -> Duration {
         let (least, most) = self.poison_delays;
         let seed = task.step.job ^ u64::from(task.task) << 32;
@@ -833,25 +863,27 @@
         least + most.saturating_sub(least).mul_f64(part)
     }
 
-    /// An agent dies, and the next incarnation comes up at its address, behind the same cut; which.
+    /// Crashes an agent and starts its next incarnation at the same address, disconnected for as
+    /// long as the former one was. Returns the new incarnation.
     pub(crate) fn restart_agent(&mut self, id: &MinionId) -> Option<MinionId> {
         let Agent {
             record,
             host,
-            cut_until: cut,
+            cut_until,
             ..
         } = self.agents.remove(id)?;
         self.lose_ends(id);
         self.maybe_late_heartbeat(&record.id, &record);
-        let never = format!("{id}-unheard").into();
-        self.maybe_late_heartbeat(&never, &record);
+        let unknown = format!("{id}-unheard").into();
+        self.maybe_late_heartbeat(&unknown, &record);
         self.boot_at(&host, record.address);
         let next = self.incarnation_at(&host)?;
-        self.agents.get_mut(&next)?.cut_until = cut;
+        self.agents.get_mut(&next)?.cut_until = cut_until;
         Some(next)
     }
 
-    /// Has a heartbeat of an incarnation that is over arrive some time, if the faults say so.
+    /// Delivers a late heartbeat of an incarnation that has ended, with the probability of the
+    /// fault.
     fn maybe_late_heartbeat(&mut self, id: &MinionId, record: &AgentRecord) {
         if self.faults.late_heartbeats > 0.0 && self.rng.random_bool(self.faults.late_heartbeats) {
             let delay = Duration::from_secs_f64(self.rng.random_range(0.0..20.0));
@@ -859,7 +891,7 @@
         }
     }
 
-    /// Has a heartbeat arrive after a delay that says what a record does, of this incarnation.
+    /// Delivers a heartbeat after a delay, with the contents of a record but from this incarnation.
     pub(crate) fn late_heartbeat(&mut self, id: &MinionId, record: &AgentRecord, delay: Duration) {
         let record = AgentRecord {
             id: id.clone(),
@@ -873,14 +905,14 @@
         self.schedule(self.now + delay, event);
     }
 
-    /// Nothing gets through to an agent for a while.
+    /// Disconnects an agent from the network for a while.
     pub(crate) fn disconnect(&mut self, id: &MinionId, span: Duration) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.cut_until = self.now + span;
         }
     }
 
-    /// What an agent runs of a task ends well now.
+    /// Lets an agent's run of a task complete now.
     pub(crate) fn finish_task(&mut self, id: &MinionId, task: TaskId) {
         let agent = self.agents.get_mut(id);
         let run = agent.and_then(|agent| agent.running.get_mut(&task));
@@ -890,14 +922,14 @@
         }
     }
 
-    /// No order gets through to an agent for a while, and its heartbeats do.
+    /// Blocks orders to an agent for a while; its heartbeats still arrive.
     pub(crate) fn block_orders(&mut self, id: &MinionId, span: Duration) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.blocked_until = self.now + span;
         }
     }
 
-    /// An agent says that it will end.
+    /// Has an agent announce that it is leaving.
     pub(crate) fn drain(&mut self, id: &MinionId) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.record.leaving = true;
@@ -905,14 +937,14 @@
         self.send_heartbeat(id);
     }
 
-    /// Where the first task of a job is placed.
+    /// The agent on which the first placed task of a job is placed.
     pub(crate) fn placement(&self, job: u64) -> Option<MinionId> {
         let found = self.ledger.job(job)?;
         let (_, agent) = found.placements(job).next()?;
         Some(agent)
     }
 
-    /// The agents that run something of a job, and what.
+    /// The running tasks of a job, with their agents.
     pub(crate) fn runs(&self, job: u64) -> Vec<(MinionId, TaskId)> {
         let agents = self.agents.iter();
         let runs = agents.flat_map(|(id, agent)| {
@@ -929,11 +961,11 @@
         }
     }
 
-    /// Lets time pass until something holds.
+    /// Lets time pass until a condition holds; fails if it doesn't within the limit.
     pub(crate) fn until(&mut self, what: &str, limit: Duration, holds: impl Fn(&Self) -> bool) {
         let end = self.now + limit;
         while !holds(self) {
-            assert!(self.now < end, "in {limit:?}: {what}");
+            assert!(self.now < end, "not within {limit:?}: {what}");
             self.tick();
         }
     }
@@ -971,7 +1003,7 @@
         }
     }
 
-    /// Applies the next command, if it is committed by now.
+    /// Applies the next command if it is committed by now. Returns whether there was one.
     fn commit(&mut self) -> bool {
         let due = self.log.front().is_some_and(|(at, _)| *at <= self.now);
         let Some((_, command)) = due.then(|| self.log.pop_front()).flatten() else {
@@ -995,21 +1027,22 @@
         true
     }
 
-    /// The ends of hosts are held against nothing that never runs again: it would keep others waiting.
+    /// Checks that the scheduler keeps evidence only against tasks that may run again. Evidence
+    /// against any other task would keep others waiting.
     fn check_evidence(&self) {
-        let held = self
+        let suspects = self
             .scheduler
             .iter()
             .flat_map(Scheduler::tasks_with_evidence);
-        for task in held {
+        for task in suspects {
             assert!(
                 self.may_run(task),
-                "{task} never runs again, and the ends of hosts are still held against it"
+                "{task} never runs again, but the scheduler still keeps evidence against it"
             );
         }
     }
 
-    /// Nothing is started that never runs again.
+    /// Checks that no task is started that has finished for good.
     fn check_starts(&self, commands: &[Command]) {
         let rounds = commands.iter().filter_map(|command| match command {
             Command::Round(round) => Some(round),
@@ -1018,13 +1051,13 @@
         for start in rounds.flat_map(|round| &round.starts) {
             assert!(
                 self.may_run(start.task),
-                "{} never runs again, and is to be started",
+                "{} never runs again, but is to be started",
                 start.task
             );
         }
     }
 
-    /// Whether a task may run, or run again, some time.
+    /// Whether a task may still run, or run again.
     fn may_run(&self, task: TaskId) -> bool {
         let job = self.ledger.job(task.step.job);
         let Some(job) = job.filter(|job| !job.has_ended()) else {
@@ -1036,26 +1069,32 @@
         !finished && !done
     }
 
-    /// Has the leader decide; returns how many agents and steps it looked at, and its orders.
+    /// Lets the leader plan and sends its orders. Returns the numbers of visits and of orders.
     fn decide(&mut self) -> (usize, usize) {
         self.check_evidence();
         let Some(scheduler) = &mut self.scheduler else {
             return (0, 0);
         };
-        let twin = self
+        let full = self
             .plans
             .is_multiple_of(FULL_VISIT_INTERVAL)
             .then(|| scheduler.clone());
         let plan = scheduler.plan(self.now, self.now, &self.ledger);
-        if let Some(mut twin) = twin {
-            twin.visit_all();
-            let other = twin.plan(self.now, self.now, &self.ledger);
-            assert_eq!(plan.commands, other.commands, "nothing is overlooked");
-            assert_eq!(plan.orders, other.orders, "nothing is overlooked");
+        if let Some(mut full) = full {
+            full.visit_all();
+            let full_plan = full.plan(self.now, self.now, &self.ledger);
+            assert_eq!(
+                plan.commands, full_plan.commands,
+                "a visit to all agents gives the same commands"
+            );
+            assert_eq!(
+                plan.orders, full_plan.orders,
+                "a visit to all agents gives the same orders"
+            );
         }
         self.check_starts(&plan.commands);
-        let (looks, orders) = (plan.visits, plan.orders.len());
-        self.visits += looks;
+        let (visits, orders) = (plan.visits, plan.orders.len());
+        self.visits += visits;
         self.plans += 1;
         for command in plan.commands {
             self.propose(command);
@@ -1063,10 +1102,10 @@
         for order in plan.orders {
             self.send(order);
         }
-        (looks, orders)
+        (visits, orders)
     }
 
-    /// Lets the leader work until now, one batch of what waits after the other.
+    /// Lets the leader work until now, one batch of waiting inputs after the other.
     fn run_processor(&mut self, processor: Processor) {
         self.report_busy();
         self.busy_until = self.busy_until.max(self.now.saturating_sub(TICK));
@@ -1075,21 +1114,21 @@
             while inputs < MAX_INPUT_BATCH && (self.commit() || self.take_input()) {
                 inputs += 1;
             }
-            let (looks, orders) = self.decide();
+            let (visits, orders) = self.decide();
             let times = |span: Duration, count: usize| span * u32::try_from(count).unwrap();
             let work = times(processor.input, inputs)
-                + times(processor.visit, looks)
+                + times(processor.visit, visits)
                 + times(processor.order, orders);
             self.busy_until += work;
             self.work_time.1 += work;
             if inputs == 0 {
-                // It waits for the next input.
+                // The leader is idle until the next input.
                 self.busy_until = self.busy_until.max(self.now);
             }
         }
     }
 
-    /// Tells the leader how much of the time it was busy.
+    /// Reports to the leader which share of the time it was busy.
     fn report_busy(&mut self) {
         let (since, worked) = self.work_time;
         let span = self.now.saturating_sub(since);
@@ -1113,7 +1152,7 @@
         true
     }
 
-    /// The leader takes an answer in, if it was one to its own order.
+    /// Delivers an answer to the leader if it answers an order of this leader's term.
     fn deliver_answer(&mut self, term: u64, order: OrderId, answer: Answer) {
         if term == self.term
             && let Some(scheduler) = &mut self.scheduler
@@ -1136,7 +1175,7 @@
             _ => Duration::ZERO,
         };
         let (term, id) = (order.term, order.id);
-        // If nothing else answers by then.
+        // The answer that the leader gets if no other arrives by then.
         self.schedule(
             self.now + wait + ANSWER_TIMEOUT,
             Event::Answer {
@@ -1150,7 +1189,7 @@
             OrderKind::Hosts | OrderKind::Move { .. } | OrderKind::Maintain { .. }
         );
         let agent = self.target(&order);
-        let taker = agent.map(|agent| agent.record.id.clone());
+        let recipient = agent.map(|agent| agent.record.id.clone());
         let stalled =
             self.now < self.stalled_until && agent.is_some_and(|agent| is_even(&agent.host));
         let late = stalled || (to_agent && self.rng.random_bool(self.faults.late_orders));
@@ -1166,14 +1205,14 @@
             self.now + delay,
             Event::Arrive {
                 order,
-                silent: late,
-                astray: late && !stalled,
-                taker,
+                unanswered: late,
+                delayed_by_agent: late && !stalled,
+                recipient,
             },
         );
     }
 
-    /// Two leaders don't take turns on one host.
+    /// Checks that orders of two leaders about one host are far enough apart.
     fn check_handover(&mut self, order: &Order) {
         let (OrderKind::Move { host, .. } | OrderKind::Maintain { host, .. }) = &order.kind else {
             return;
@@ -1195,10 +1234,10 @@
         match event {
             Event::Arrive {
                 order,
-                silent,
-                astray,
-                taker,
-            } => self.receive_order(&order, silent, astray, taker),
+                unanswered,
+                delayed_by_agent,
+                recipient,
+            } => self.receive_order(&order, unanswered, delayed_by_agent, recipient),
             Event::RenewalTimeout { order, since, .. } => {
                 let ends = self.reachable_target(&order).map(|agent| agent.end_count);
                 if ends == Some(since) {
@@ -1223,13 +1262,13 @@
         }
     }
 
-    /// How much longer something takes on its way.
+    /// A random additional delay of a message.
     fn random_jitter(&mut self) -> Duration {
         if self.jitter.is_zero() {
             return Duration::ZERO;
         }
-        let most = self.jitter.as_secs_f64();
-        Duration::from_secs_f64(self.rng.random_range(0.0..most))
+        let max = self.jitter.as_secs_f64();
+        Duration::from_secs_f64(self.rng.random_range(0.0..max))
     }
 
     fn send_answer(&mut self, order: &Order, answer: Answer) {
@@ -1247,7 +1286,8 @@
         }
     }
 
-    /// The agent that takes an order, which names the agent and not its incarnation.
+    /// The agent that accepts an order. An order names an agent, and any incarnation of it accepts
+    /// the order.
     fn target(&self, order: &Order) -> Option<&Agent> {
         let Target { agent, address, .. } = order.kind.target()?;
         let mut agents = self.agents.values();
@@ -1255,13 +1295,13 @@
             .find(|other| other.record.address == *address && name(&other.record.id) == name(agent))
     }
 
-    /// The agent that an order or a look is for, if it gets through.
+    /// The agent that accepts an order, if the network delivers the order.
     fn reachable_target(&self, order: &Order) -> Option<&Agent> {
         self.target(order)
             .filter(|agent| self.now >= agent.cut_until.max(agent.blocked_until))
     }
 
-    /// Whether another incarnation than the one that is meant takes the order.
+    /// Whether an agent of another name runs at the order's address and can be reached.
     fn is_elsewhere(&self, order: &Order) -> bool {
         let Some(Target { agent, address, .. }) = order.kind.target() else {
             return false;
@@ -1269,20 +1309,18 @@
         let mut agents = self.agents.values();
         agents.any(|other| {
             let Agent {
-                record,
-                cut_until: cut,
-                ..
+                record, cut_until, ..
             } = other;
-            record.address == *address && name(&record.id) != name(agent) && self.now >= *cut
+            record.address == *address && name(&record.id) != name(agent) && self.now >= *cut_until
         })
     }
 
     fn receive_order(
         &mut self,
         order: &Order,
-        silent: bool,
-        astray: bool,
-        taker: Option<MinionId>,
+        unanswered: bool,
+        delayed_by_agent: bool,
+        recipient: Option<MinionId>,
     ) {
         match &order.kind {
             OrderKind::Hosts => {
@@ -1305,7 +1343,7 @@
                     .get(host)
                     .is_some_and(|view| view.state == HostState::Up);
                 if up && self.maintained.contains(&(*wave, host.clone())) {
-                    // It was done before, and isn't done again.
+                    // The maintenance was done before and isn't repeated.
                     let clock = Duration::ZERO;
                     self.send_answer(order, Answer::Done { clock });
                     return;
@@ -1328,16 +1366,17 @@
             _ => {}
         }
         let now = self.now;
-        // What is carried out late had arrived before, and ends with who got it.
-        let target = if silent {
-            taker.and_then(|taker| self.agents.get(&taker))
+        // An order that is carried out late had arrived before, and is lost with the incarnation
+        // that received it.
+        let target = if unanswered {
+            recipient.and_then(|recipient| self.agents.get(&recipient))
         } else {
             self.reachable_target(order)
         };
         let Some(agent) = target else {
-            if !silent && self.is_elsewhere(order) {
+            if !unanswered && self.is_elsewhere(order) {
                 self.send_answer(order, Answer::Elsewhere);
-            } else if !silent && self.reset_connections && self.target(order).is_none() {
+            } else if !unanswered && self.reset_connections && self.target(order).is_none() {
                 self.send_answer(order, Answer::Silent);
             }
             return;
@@ -1350,7 +1389,7 @@
                 why: Refusal::Fence,
                 clock: Some(clock),
             };
-            if !silent {
+            if !unanswered {
                 self.send_answer(order, answer);
             }
             return;
@@ -1360,9 +1399,9 @@
         }
         let answer = match &order.kind {
             OrderKind::Start(start) => {
-                let before = self.is_running(&id, start);
-                let answer = self.start(&id, start, silent);
-                if !before && !astray && self.is_running(&id, start) {
+                let was_running = self.is_running(&id, start);
+                let answer = self.start(&id, start, unanswered);
+                if !was_running && !delayed_by_agent && self.is_running(&id, start) {
                     self.check_start_window(&id, start);
                 }
                 answer
@@ -1371,21 +1410,21 @@
             OrderKind::Renew {
                 acked, until, wait, ..
             } => {
-                self.renew(&id, *acked, *until, silent);
+                self.renew(&id, *acked, *until, unanswered);
                 let agent = &self.agents[&id];
                 if wait.is_zero() || !agent.unacked_ends.is_empty() {
-                    if !silent {
+                    if !unanswered {
                         self.report(order);
                     }
-                } else if !silent {
+                } else if !unanswered {
                     let since = agent.end_count;
-                    let (order, taker) = (order.clone(), id.clone());
-                    let waited = Event::RenewalTimeout {
+                    let (order, recipient) = (order.clone(), id.clone());
+                    let timeout = Event::RenewalTimeout {
                         order,
                         since,
-                        taker,
+                        recipient,
                     };
-                    self.schedule(now + *wait, waited);
+                    self.schedule(now + *wait, timeout);
                 }
                 return;
             }
@@ -1405,19 +1444,21 @@
                 ..
             }
         );
-        // An agent that isn't well has then done nothing, and has noted no term either.
+        // An agent that refuses because it isn't healthy has done nothing, and hasn't recorded the
+        // term either.
         if unwell && let Some(agent) = self.agents.get_mut(&id) {
             agent.fencing_term = token;
         }
-        if !silent {
+        if !unanswered {
             self.send_answer(order, answer);
         }
     }
 
-    /// The service answers which agents may run a step: those of every second host.
+    /// Answers, as the eligibility service, which agents may run a step: those of every second
+    /// host.
     fn answer_query(&mut self, order: &Order, step: StepId, agents: &[MinionId]) {
         self.service_queries += 1;
-        assert!(agents.len() <= 100, "the service takes no longer list");
+        assert!(agents.len() <= 100, "a query names at most 100 agents");
         if self.service_down {
             return self.send_answer(order, Answer::Silent);
         }
@@ -1443,7 +1484,7 @@
         self.schedule(done + ONE_WAY_DELAY, event);
     }
 
-    /// Whether a start carries a grant that holds, if its queue asks for one.
+    /// Whether a start carries a valid grant, if its queue requires one.
     fn is_granted(&self, queue: &str, start: &StartOrder) -> bool {
         let asks = self
             .catalog
@@ -1467,7 +1508,7 @@
     ) -> Answer {
         let clock = Duration::ZERO;
         let Some(view) = self.hosts.get_mut(host) else {
-            // The provider remembers those that it had.
+            // The provider remembers hosts that were removed.
             let why = if self.removed.contains(host) {
                 Refusal::Busy
             } else {
@@ -1481,9 +1522,9 @@
         change(view);
         view.state = state;
         view.agent = None;
-        let living = self.incarnation_at(host);
-        living.iter().for_each(|id| self.lose_ends(id));
-        let agent = living.and_then(|id| self.agents.remove(&id));
+        let incarnation = self.incarnation_at(host);
+        incarnation.iter().for_each(|id| self.lose_ends(id));
+        let agent = incarnation.and_then(|id| self.agents.remove(&id));
         for (task, run) in agent.iter().flat_map(|agent| &agent.running) {
             self.interrupted_runs += 1;
             if run.is_at_work() {
@@ -1497,7 +1538,7 @@
 
     fn start(&mut self, id: &MinionId, start: &StartOrder, late: bool) -> Answer {
         let now = self.now;
-        let (longest, fresh) = (self.lease, late && self.faults.lease_from_arrival);
+        let (longest, from_arrival) = (self.lease, late && self.faults.lease_from_arrival);
         let job = self
             .ledger
             .job(start.task.step.job)
@@ -1507,19 +1548,19 @@
         let committed = job
             .task(start.task)
             .is_some_and(|task| task.attempt >= start.attempt);
-        let elsewhere = self
+        let runs_elsewhere = self
             .agents
             .iter()
             .any(|(other, agent)| other != id && agent.running.contains_key(&start.task));
         let done = job.task(start.task).is_some_and(|task| task.done);
-        let open = job.is_ready(start.task.step);
+        let ready = job.is_ready(start.task.step);
         let granted = self.is_granted(&job.queue, start);
         let unwell = self.rng.random_bool(self.faults.unwell_refusals);
-        let (fails, slow) = (
+        let (fails, run_factor) = (
             self.rng.random_bool(self.faults.failed_attempts),
             self.rng.random_range(0.8..1.3),
         );
-        let off = if self.faults.estimate_error > 1.0 {
+        let estimate_error = if self.faults.estimate_error > 1.0 {
             self.faults
                 .estimate_error
                 .powf(self.rng.random_range(-1.0..1.0))
@@ -1550,11 +1591,11 @@
         if agent
             .last_attempts
             .get(&start.task)
-            .is_some_and(|over| start.attempt <= *over)
+            .is_some_and(|last_attempt| start.attempt <= *last_attempt)
         {
             return refused(Refusal::Old);
         }
-        let until = if fresh {
+        let until = if from_arrival {
             clock + longest
         } else {
             start.until.min(clock + longest)
@@ -1564,30 +1605,38 @@
             return refused(Refusal::Late);
         }
         if !self.relaxed_checks {
-            let what = format!("{} attempt {} at {id}", start.task, start.attempt);
-            assert!(committed, "committed before it is sent: {what}");
-            assert!(!elsewhere, "one attempt at a time: {what}");
-            assert!(!done, "not after it is done: {what}");
-            assert!(open, "not before the steps before it: {what}");
-            let beside = agent.running.contains_key(&start.task);
-            assert!(!beside, "not beside itself: {what}");
+            let attempt_name = format!("{} attempt {} at {id}", start.task, start.attempt);
+            assert!(committed, "committed before it is sent: {attempt_name}");
+            assert!(!runs_elsewhere, "one attempt at a time: {attempt_name}");
+            assert!(!done, "not after it is done: {attempt_name}");
+            assert!(
+                ready,
+                "not before the steps that it depends on: {attempt_name}"
+            );
+            let runs_here = agent.running.contains_key(&start.task);
+            assert!(!runs_here, "not twice at one agent: {attempt_name}");
             let free = agent.record.capacity.minus(&agent.used());
-            assert!(free.fits(&spec.reservation()), "within the room: {what}");
+            assert!(
+                free.fits(&spec.reservation()),
+                "within the capacity: {attempt_name}"
+            );
         }
-        let room = spec.reservation();
-        let ends = if spec.long_running {
+        let reservation = spec.reservation();
+        let ends_at = if spec.long_running {
             Duration::MAX
         } else {
-            now + spec.estimate.mul_f64(slow * agent.slowdown * off)
+            now + spec
+                .estimate
+                .mul_f64(run_factor * agent.slowdown * estimate_error)
         };
-        let how = if fails { Ending::Failed } else { Ending::Done };
+        let ending = if fails { Ending::Failed } else { Ending::Done };
         let run = Run {
             attempt: start.attempt,
             started_at: now,
             started_late: late,
-            reservation: room,
-            ends_at: ends,
-            ending: how,
+            reservation,
+            ends_at,
+            ending,
             stopping: false,
             percent: 0,
             speed_percent: 100,
@@ -1596,50 +1645,51 @@
         };
         agent.running.insert(start.task, run);
         self.check_rerun(id, start);
-        self.check_cap(start.task, &room, late);
+        self.check_cap(start.task, &reservation, late);
         *self.starts.entry(start.task).or_default() += 1;
         Answer::Done { clock }
     }
 
-    /// What an agent has ended and wasn't told that it is known is lost with it.
+    /// Forgets the ends that weren't acknowledged to an agent; they are lost with it.
     fn lose_ends(&mut self, id: &MinionId) {
         self.unreported.remove(id);
         self.completions
             .retain(|_, finish| finish.acknowledged || finish.agent != *id);
     }
 
-    /// A task has begun: not after a run of it has ended well, if that is taken note of then or later.
+    /// Records a start that follows a completed run of the same task. This is an error if the end
+    /// of that run is acknowledged, now or later.
     fn check_rerun(&mut self, id: &MinionId, start: &StartOrder) {
         let Some(finish) = self.completions.get_mut(&start.task) else {
             return;
         };
-        let again = (id.clone(), start.attempt, self.now);
-        finish.rerun.get_or_insert(again);
+        let rerun = (id.clone(), start.attempt, self.now);
+        finish.rerun.get_or_insert(rerun);
         self.reruns.insert(start.task);
         if finish.acknowledged {
             self.record_rerun(start.task);
         }
     }
 
-    /// An agent was told that its ends are known, through this one.
+    /// Records that an agent's ends are acknowledged, up to and including number `acked`.
     fn acknowledge_ends(&mut self, id: &MinionId, acked: u64) {
-        let Some(untold) = self.unreported.get_mut(id) else {
+        let Some(unreported) = self.unreported.get_mut(id) else {
             return;
         };
-        let mut redone = Vec::new();
+        let mut reruns = Vec::new();
         let finished = &mut self.completions;
-        untold.retain(|task| {
+        unreported.retain(|task| {
             let finish = finished.get_mut(task);
             let Some(finish) = finish.filter(|finish| finish.number <= acked) else {
                 return true;
             };
             finish.acknowledged = true;
             if finish.rerun.is_some() {
-                redone.push(*task);
+                reruns.push(*task);
             }
             false
         });
-        redone.into_iter().for_each(|task| self.record_rerun(task));
+        reruns.into_iter().for_each(|task| self.record_rerun(task));
     }
 
     fn record_rerun(&mut self, task: TaskId) {
@@ -1650,29 +1700,30 @@
             agent,
             attempt,
             at,
-            rerun: again,
+            rerun,
             ..
         } = finish;
         let what = format!(
-            "{task} was done by attempt {attempt} at {agent} at {at:?} and started again: {again:?}"
+            "{task} was completed by attempt {attempt} at {agent} at {at:?} and started again: {rerun:?}"
         );
         assert!(self.allow_reruns || self.relaxed_checks, "{what}");
         self.acknowledged_reruns.push(what);
     }
 
-    /// Whether an agent runs the attempt that a start is of.
+    /// Whether an agent runs the attempt that a start asks for.
     fn is_running(&self, id: &MinionId, start: &StartOrder) -> bool {
         let agent = self.agents.get(id);
         let run = agent.and_then(|agent| agent.running.get(&start.task));
         run.is_some_and(|run| run.attempt == start.attempt)
     }
 
-    /// A task has begun: not on an agent whose leaving was acknowledged too long ago.
+    /// Checks that a start doesn't begin too long after its agent was notified that its leaving is
+    /// known.
     fn check_start_window(&self, id: &MinionId, start: &StartOrder) {
-        let Some(told) = self.leaving_acks.get(id) else {
+        let Some(notified_at) = self.leaving_acks.get(id) else {
             return;
         };
-        let since = self.now.saturating_sub(*told);
+        let since = self.now.saturating_sub(*notified_at);
         assert!(
             since <= START_WINDOW,
             "{} attempt {} begins at {id} {since:?} after its leaving was acknowledged",
@@ -1687,8 +1738,8 @@
             return Answer::Silent;
         };
         let clock = agent.clock(now);
-        let over = agent.last_attempts.entry(task).or_default();
-        *over = (*over).max(attempt);
+        let last_attempt = agent.last_attempts.entry(task).or_default();
+        *last_attempt = (*last_attempt).max(attempt);
         let run = agent.running.get_mut(&task);
         if let Some(run) = run.filter(|run| run.attempt == attempt) {
             let at_work = run.is_at_work();
@@ -1701,8 +1752,8 @@
         Answer::Done { clock }
     }
 
-    /// An order ends a task that is at work: within the budget of its step, if it lasts and its job
-    /// goes on.
+    /// Records that an order ends a task at work. For a long-running task of a job that continues,
+    /// it also records whether that exceeds the disruption budget of the task's step.
     fn count_disruption(&mut self, task: TaskId) {
         let job = self
             .ledger
@@ -1722,27 +1773,28 @@
 
     fn renew(&mut self, id: &MinionId, acked: u64, until: Option<AgentTime>, late: bool) {
         let now = self.now;
-        let (longest, fresh) = (self.lease, late && self.faults.lease_from_arrival);
+        let (longest, from_arrival) = (self.lease, late && self.faults.lease_from_arrival);
         let known = self.ledger.agent(id).map_or(0, |agent| agent.acked);
-        let listed = self.agents.get(id).into_iter();
-        let mut listed = listed.flat_map(|agent| &agent.unacked_ends);
+        let reported = self.agents.get(id).into_iter();
+        let mut reported = reported.flat_map(|agent| &agent.unacked_ends);
         assert!(
-            acked <= known || self.relaxed_checks || listed.all(|end| end.number > acked),
+            acked <= known || self.relaxed_checks || reported.all(|end| end.number > acked),
             "no end is acknowledged before it is committed"
         );
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        let noted = agent.unacked_ends.iter().filter(|end| end.number <= acked);
-        for end in noted.filter(|end| end.how == Ending::Failed) {
+        let acknowledged = agent.unacked_ends.iter().filter(|end| end.number <= acked);
+        for end in acknowledged.filter(|end| end.how == Ending::Failed) {
             *self.failures.entry(end.task).or_default() += 1;
         }
         agent.unacked_ends.retain(|end| end.number > acked);
         if let Some(until) = until {
             let most = agent.clock(now) + longest;
-            agent.lease_end = agent
-                .lease_end
-                .max(if fresh { most } else { until.min(most) });
+            agent.lease_end =
+                agent
+                    .lease_end
+                    .max(if from_arrival { most } else { until.min(most) });
         }
         self.acknowledge_ends(id, acked);
     }
@@ -1765,7 +1817,7 @@
             running: running.collect(),
             ended: agent.unacked_ends.clone(),
         };
-        // The list says whose it is.
+        // A report names the incarnation that it is from.
         let asked = order.kind.target().map(|to| &to.agent);
         let answer = if asked == Some(&agent.record.id) {
             Answer::Report(report)
@@ -1783,7 +1835,7 @@
             if lapsed {
                 self.unreported.remove(id);
             }
-            let over: Vec<_> = agent
+            let finished: Vec<_> = agent
                 .running
                 .iter()
                 .filter(|(_, run)| lapsed || run.ends_at <= now)
@@ -1795,7 +1847,7 @@
                     self.disrupted.remove(task);
                 }
             }
-            for task in over {
+            for task in finished {
                 let Some(run) = agent.running.remove(&task) else {
                     continue;
                 };
@@ -1821,19 +1873,20 @@
                         acknowledged: false,
                         rerun: None,
                     };
-                    if let Entry::Vacant(place) = self.completions.entry(task) {
-                        place.insert(finish);
+                    if let Entry::Vacant(entry) = self.completions.entry(task) {
+                        entry.insert(finish);
                         self.unreported.entry(id.clone()).or_default().push(task);
                     }
                 }
-                let last = agent.last_attempts.entry(task).or_default();
-                *last = (*last).max(run.attempt);
+                let last_attempt = agent.last_attempts.entry(task).or_default();
+                *last_attempt = (*last_attempt).max(run.attempt);
                 ended.insert(id.clone());
             }
         }
-        // A renewal that waits is answered by an end, whichever incarnation it names.
+        // A waiting renewal is answered as soon as a run ends, whichever incarnation the renewal
+        // names.
         let waiting = self.events.iter().filter(|(_, event)| match event {
-            Event::RenewalTimeout { taker, .. } => ended.contains(taker),
+            Event::RenewalTimeout { recipient, .. } => ended.contains(recipient),
             _ => false,
         });
         let waiting: Vec<_> = waiting.map(|(key, _)| *key).collect();
@@ -1858,7 +1911,7 @@
         self.receive_heartbeat(&record, clock);
     }
 
-    /// A heartbeat reaches the leader.
+    /// Delivers a heartbeat to the leader, or to its queue of inputs if it has a processor.
     fn receive_heartbeat(&mut self, record: &AgentRecord, clock: AgentTime) {
         match self.processor {
             None => self.handle_heartbeat(record, clock),
@@ -1869,13 +1922,13 @@
         }
     }
 
-    /// The leader, if there is one, takes a heartbeat in.
+    /// Lets the leader, if there is one, handle a heartbeat.
     fn handle_heartbeat(&mut self, record: &AgentRecord, clock: AgentTime) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        if let Some(news) = scheduler.heartbeat(self.now, &self.ledger, record, clock) {
-            self.propose(news);
+        if let Some(command) = scheduler.heartbeat(self.now, &self.ledger, record, clock) {
+            self.propose(command);
         } else if record.leaving {
             let known = self.ledger.agent(&record.id);
             assert!(
@@ -1890,26 +1943,26 @@
     }
 }
 
-/// The name of the agent of an incarnation.
+/// The agent's name in the id of an incarnation.
 fn name(incarnation: &str) -> &str {
     incarnation
         .split_once(INCARNATION_SEPARATOR)
         .map_or(incarnation, |(name, _)| name)
 }
 
-/// Whether a host's number is even.
+/// Whether a host has an even number in its name.
 pub(crate) fn is_even(host: &str) -> bool {
     host[1..].parse::<u32>().is_ok_and(|number| number % 2 == 0)
 }
 
-/// Tasks of a second or so on some cores.
+/// A step of batch tasks, each with this many cores and this estimated run time.
 pub(crate) fn step(tasks: u32, cores: u64, millis: u64) -> StepSpec {
     let mut step = StepSpec::new(tasks, ms(millis));
     step.need.millicores = cores * 1000;
     step
 }
 
-/// A step that lasts, its tasks on hosts of their own.
+/// A step of long-running tasks, each on a host of its own, with a disruption budget of one.
 pub(crate) fn long_running(tasks: u32, cores: u64) -> StepSpec {
     let mut step = step(tasks, cores, 900);
     step.long_running = true;
