--- a/tests/workload/caps.rs
+++ b/tests/workload/caps.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    faults::{ALL, play_beside},
+    faults::{ALL_FAULTS, play_with},
     world::{OTHER_POOL, POOL, World, long_running, ms, step},
 };
 
@@ -176,7 +176,7 @@
             world.set_cap(OWNER, caps[usize::try_from(job / 4).unwrap() % caps.len()]);
         }
     };
-    play_beside(world, seed, ALL, true, change).cap_excess
+    play_with(world, seed, ALL_FAULTS, true, change).cap_excess
 }
 
 /// A cap holds through changes of the leader, late orders, partitions and lost answers.
--- a/tests/workload/faults.rs
+++ b/tests/workload/faults.rs
@@ -26,7 +26,7 @@
 }
 
 /// All that goes wrong, at once.
-pub(crate) const ALL: Faults = Faults {
+pub(crate) const ALL_FAULTS: Faults = Faults {
     lost_answers: 0.05,
     late_orders: 0.03,
     lease_from_arrival: false,
@@ -38,11 +38,11 @@
 
 /// Trouble of every kind at once, drawn by the seed.
 pub(crate) fn play(world: World, seed: u64, faults: Faults, takeovers: bool) -> World {
-    play_beside(world, seed, faults, takeovers, |_, _| {})
+    play_with(world, seed, faults, takeovers, |_, _| {})
 }
 
 /// The same with something else that happens before each job.
-pub(crate) fn play_beside(
+pub(crate) fn play_with(
     mut world: World,
     seed: u64,
     faults: Faults,
@@ -128,7 +128,7 @@
 #[test]
 fn all_of_it_at_once_starts_nothing_twice_and_loses_nothing() {
     (0..SEEDS).for_each(|seed| {
-        let mut world = play(World::new(6, seed), seed, ALL, true);
+        let mut world = play(World::new(6, seed), seed, ALL_FAULTS, true);
         world.until("what lasts runs", ms(30_000), |world| {
             world.state(1000).is_none() || world.runs(1000).len() == 3
         });
--- a/tests/workload/leaving.rs
+++ b/tests/workload/leaving.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    faults::{ALL, play_beside},
+    faults::{ALL_FAULTS, play_with},
     world::{Faults, POOL, World, long_running, ms, step},
 };
 
@@ -143,9 +143,9 @@
 
 #[test]
 fn with_all_faults_beside_nothing_begins_on_an_agent_that_leaves() {
-    (0..SEEDS).for_each(|seed| play(seed, Protections::default(), ALL));
+    (0..SEEDS).for_each(|seed| play(seed, Protections::default(), ALL_FAULTS));
     (0..SEEDS).for_each(|seed| {
-        play_beside(World::new(6, seed), seed, ALL, true, |world, job| {
+        play_with(World::new(6, seed), seed, ALL_FAULTS, true, |world, job| {
             if job % 5 == 0 {
                 let agent = only(world);
                 world.drain(&agent);
