--- a/tests/workload/cancelled.rs
+++ b/tests/workload/cancelled.rs
@@ -130,12 +130,12 @@
 }
 
 #[test]
-fn nothing_of_a_cancelled_job_runs_on_in_calm() {
+fn a_cancelled_job_stops_without_disturbances() {
     play_all(Trouble::default());
 }
 
 #[test]
-fn nor_when_orders_are_late() {
+fn a_cancelled_job_stops_when_orders_are_late() {
     play_all(Trouble {
         faults: late(),
         ..Trouble::default()
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn nor_when_late_leases_count_from_when_they_come() {
+fn a_cancelled_job_stops_when_late_leases_count_from_their_arrival() {
     play_all(Trouble {
         faults: Faults {
             lenient: true,
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn nor_when_leaders_change_and_are_removed() {
+fn a_cancelled_job_stops_when_leaders_change_and_are_absent() {
     play_all(Trouble {
         faults: late(),
         takeovers: true,
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn nor_when_agents_are_cut_off() {
+fn a_cancelled_job_stops_when_agents_are_disconnected() {
     play_all(Trouble {
         faults: late(),
         cuts: true,
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn nor_when_leaders_change_beside_agents_that_are_cut_off() {
+fn a_cancelled_job_stops_when_leaders_change_beside_disconnected_agents() {
     play_all(Trouble {
         faults: Faults {
             lenient: true,
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn nor_when_agents_are_taken_for_gone() {
+fn a_cancelled_job_stops_when_running_agents_are_declared_terminated() {
     play_all(Trouble {
         faults: late(),
         burials: true,
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn nor_when_all_of_it_comes_at_once() {
+fn a_cancelled_job_stops_under_all_disturbances_at_once() {
     play_all(Trouble {
         faults: Faults {
             lost: 0.05,
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn nor_when_hosts_stay_where_they_are() {
+fn a_cancelled_job_stops_when_no_host_is_moved() {
     play_all(Trouble {
         faults: late(),
         burials: true,
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn without_looking_at_idle_agents_a_cancelled_task_runs_on() {
+fn without_polls_of_idle_agents_a_cancelled_task_runs_on() {
     // Most of what would run on is refused by its agent already, as it comes after its deadline.
     let without = Protections {
         polls: false,
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn what_ran_through_a_wrong_burial_is_stopped_when_its_job_is_cancelled() {
+fn a_task_on_an_agent_wrongly_declared_terminated_stops_when_its_job_is_cancelled() {
     let mut world = World::with_lease(3, 1, ms(10_000));
     world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
     world.until("it runs", ms(2000), |world| world.runs(1).len() == 1);
--- a/tests/workload/suspects.rs
+++ b/tests/workload/completed_suspects.rs
@@ -118,7 +118,7 @@
 
 /// A suspect in the middle of a job kept the steps after it from being started.
 #[test]
-fn a_step_follows_a_suspect_that_was_done_by_an_earlier_attempt() {
+fn a_step_follows_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = world(3);
     let steps = vec![after(1, &[]), after(1, &[0]), after(1, &[1])];
     world.submit(1, JobSpec::new("x", steps));
@@ -130,7 +130,7 @@
 
 /// The last task of a job ends it, and the job isn't waited for.
 #[test]
-fn a_job_ends_with_a_suspect_that_was_done_by_an_earlier_attempt() {
+fn a_job_ends_with_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = world(3);
     let steps = vec![after(1, &[]), after(1, &[0])];
     world.submit(1, JobSpec::new("x", steps));
@@ -142,7 +142,7 @@
 
 /// The last task of an occurrence kept the next one from being started.
 #[test]
-fn an_occurrence_follows_a_suspect_that_was_done_by_an_earlier_attempt() {
+fn an_occurrence_follows_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = world(3);
     let mut spec = JobSpec::new("x", vec![after(1, &[])]);
     spec.recurrence = Some(Recurrence {
@@ -159,7 +159,7 @@
 
 /// A gang whose members are suspected kept the steps after it from being started.
 #[test]
-fn a_step_follows_a_suspected_gang_that_was_done_by_an_earlier_attempt() {
+fn a_step_follows_a_suspected_gang_completed_by_an_earlier_attempt() {
     let mut world = world(6);
     let mut gang = after(2, &[]);
     gang.gang = true;
@@ -172,7 +172,7 @@
 
 /// A suspect that no step follows kept other steps of its job from being started.
 #[test]
-fn other_steps_go_on_beside_a_suspect_that_was_done_by_an_earlier_attempt() {
+fn other_steps_go_on_beside_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = world(4);
     let mut long = after(1, &[]);
     long.estimate = LEASE + KNOWN * 3;
@@ -188,7 +188,7 @@
 
 /// A suspect that was done kept its job and other suspect jobs waiting.
 #[test]
-fn suspect_jobs_go_on_beside_a_suspect_that_was_done_by_an_earlier_attempt() {
+fn suspect_jobs_go_on_beside_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = world(4);
     let steps = vec![after(1, &[]), after(1, &[0])];
     world.submit(1, JobSpec::new("x", steps));
@@ -204,7 +204,7 @@
 
 /// A start that was decided before its occurrence ended was decided again and again.
 #[test]
-fn a_start_that_lost_against_the_end_of_its_occurrence_is_forgotten() {
+fn a_start_committed_after_the_end_of_its_occurrence_is_forgotten() {
     let mut world = world(1);
     let mut spec = JobSpec::new("x", vec![after(1, &[])]);
     spec.recurrence = Some(Recurrence {
--- a/tests/workload/incarnations.rs
+++ b/tests/workload/incarnations.rs
@@ -62,21 +62,21 @@
 }
 
 #[test]
-fn a_late_beat_soon_after_the_end_ends_no_successor() {
+fn a_late_heartbeat_soon_after_the_end_displaces_no_successor() {
     let case = Succeeded::new();
     let former = case.former.id.clone();
     case.outlives_beat(&former, ms(50));
 }
 
 #[test]
-fn a_beat_that_is_as_late_as_a_long_cut_ends_no_successor() {
+fn a_heartbeat_as_late_as_a_long_disconnection_displaces_no_successor() {
     let case = Succeeded::new();
     let former = case.former.id.clone();
     case.outlives_beat(&former, ms(15_000));
 }
 
 #[test]
-fn a_late_beat_to_another_leader_ends_no_successor() {
+fn a_late_heartbeat_to_another_leader_displaces_no_successor() {
     let mut case = Succeeded::new();
     case.world.depose();
     case.world.lead();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_late_beat_of_an_incarnation_never_heard_before_ends_no_successor() {
+fn a_late_heartbeat_of_an_unknown_incarnation_displaces_no_successor() {
     Succeeded::new().outlives_beat(&"unheard".into(), ms(50));
 }
 
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn what_a_crashed_agent_ran_is_started_again_as_soon_as_its_successor_is_heard() {
+fn tasks_of_a_crashed_agent_start_again_as_soon_as_its_successor_is_known() {
     let mut world = World::new(1, 1);
     world.submit(1, JobSpec::new("x", vec![step(1, 1, 5000)]));
     world.until("it runs", ms(1000), |world| world.runs(1).len() == 1);
--- a/tests/workload/main.rs
+++ b/tests/workload/main.rs
@@ -1,11 +1,10 @@
 //! Jobs, their ledger and the leader's scheduler, on logical time.
 
-mod acquitted;
 mod budgets;
 mod cancelled;
 mod caps;
 mod catalog;
-mod deadly;
+mod completed_suspects;
 mod eligible;
 mod faults;
 mod hosts;
@@ -15,13 +14,14 @@
 mod ledger;
 mod lists;
 mod overload;
+mod poison_false_positives;
+mod poison_queues;
+mod poison_tasks;
 mod promises;
-mod reborn;
 mod relays;
-mod scarce;
+mod restarted_agents;
+mod scarce_hosts;
 mod spec;
-mod storms;
-mod suspects;
 mod suspicion;
 mod vacating;
 mod workspaces;
--- a/tests/workload/acquitted.rs
+++ b/tests/workload/poison_false_positives.rs
@@ -266,7 +266,7 @@
 
 /// Innocent jobs were convicted where tenths of the fleet crashed together.
 #[test]
-fn no_job_is_convicted_where_hosts_crash_together() {
+fn no_job_fails_as_poison_where_hosts_crash_together() {
     let base = Shape::default();
     assert_acquitted(&[
         base,
@@ -289,7 +289,7 @@
 
 /// The same where all that crash are of one pool.
 #[test]
-fn no_job_is_convicted_where_hosts_of_one_pool_crash_together() {
+fn no_job_fails_as_poison_where_hosts_of_one_pool_crash_together() {
     let base = Shape {
         ending: Ending::InOnePool,
         share: 0.2,
@@ -308,7 +308,7 @@
 
 /// The same where they are replaced for good, or crash one after the other.
 #[test]
-fn no_job_is_convicted_where_hosts_are_replaced_or_crash_in_turn() {
+fn no_job_fails_as_poison_where_hosts_are_replaced_or_crash_in_turn() {
     let base = Shape {
         ending: Ending::Replaced,
         ..Shape::default()
@@ -330,7 +330,7 @@
 /// Jobs were convicted for hosts on which their tasks had never begun: an earlier leader had decided the
 /// attempts, and the agents had ended before.
 #[test]
-fn an_attempt_that_never_began_proves_nothing_to_a_later_leader() {
+fn an_attempt_that_never_started_is_no_evidence_to_a_later_leader() {
     let mut world = World::new(4, 1);
     world.resets = true;
     world.pass(ms(3000));
--- a/tests/workload/storms.rs
+++ b/tests/workload/poison_queues.rs
@@ -231,7 +231,7 @@
 
 /// Accepted jobs waited for good where more deadly jobs came than their pool could try.
 #[test]
-fn no_accepted_job_waits_for_good_in_a_storm() {
+fn no_accepted_job_waits_forever_beside_many_poison_jobs() {
     assert_none(|seed, shape| {
         let outcome = play(seed, shape);
         println!("{shape:?}, seed {seed}: {outcome:?}");
@@ -241,7 +241,7 @@
 
 /// Nine tenths of what a quiet queue of another pool does in time alone, it does beside a storm.
 #[test]
-fn a_storm_costs_a_quiet_queue_no_more_than_a_tenth() {
+fn many_poison_jobs_cost_another_queue_no_more_than_a_tenth() {
     assert_none(|seed, shape| {
         let calm = Shape {
             share: 0.0,
--- a/tests/workload/deadly.rs
+++ b/tests/workload/poison_tasks.rs
@@ -254,12 +254,12 @@
 }
 
 #[test]
-fn deadly_tasks_are_convicted_and_others_are_served() {
+fn poison_tasks_fail_and_other_jobs_are_served() {
     assert_served(Beside::default());
 }
 
 #[test]
-fn deadly_tasks_are_convicted_by_leaders_that_follow_each_other() {
+fn poison_tasks_fail_across_a_leader_change() {
     assert_served(Beside {
         takeover: true,
         ..Beside::default()
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn racks_that_go_dark_beside_deadly_tasks_convict_nobody() {
+fn a_rack_outage_beside_poison_tasks_fails_no_other_job() {
     assert_served(Beside {
         dark: true,
         ..Beside::default()
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn hosts_that_end_by_themselves_convict_nobody() {
+fn unrelated_host_crashes_beside_poison_tasks_fail_no_other_job() {
     assert_served(Beside {
         crashes: true,
         takeover: true,
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn no_task_starts_again_after_the_third_host_that_ended_under_it() {
+fn no_task_starts_again_after_its_third_host_crash() {
     let faults: Vec<_> = later().into_iter().flat_map(faults).collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
@@ -335,14 +335,14 @@
 }
 
 #[test]
-fn a_lasting_task_that_ends_its_hosts_is_convicted_and_its_neighbours_go_on() {
+fn a_long_running_poison_task_fails_and_its_neighbours_go_on() {
     // Four hosts at work for seconds don't show how often such hosts end.
     assert!(play_lasting(Duration::ZERO) <= MOST_HOSTS + 2);
     assert!(play_lasting(ms(60_000)) <= MOST_HOSTS);
 }
 
 #[test]
-fn lasting_tasks_outlive_any_number_of_hosts_that_end_by_themselves() {
+fn long_running_tasks_survive_any_number_of_unrelated_host_crashes() {
     for seed in 0..FEW_SEEDS {
         let mut world = World::new(6, seed);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn without_evidence_a_deadly_task_ends_one_host_after_the_other() {
+fn without_suspicion_a_poison_task_crashes_one_host_after_the_other() {
     let mut world = World::new(8, 5);
     world.protections.suspicion = false;
     world.lead();
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn a_suspect_whose_hosts_must_be_asked_for_is_tried_where_it_may_run() {
+fn a_suspect_with_restricted_hosts_is_retried_where_it_may_run() {
     let mut world = World::new(8, 6);
     world.resets = true;
     world.deadly.insert(1, 1);
--- a/tests/workload/reborn.rs
+++ b/tests/workload/restarted_agents.rs
@@ -31,7 +31,7 @@
 
 /// A task was started again after it had been done: its end was taken for one of the life before.
 #[test]
-fn what_an_agent_has_done_since_it_started_again_is_not_started_again() {
+fn tasks_done_by_a_restarted_agent_are_not_started_again() {
     let mut world = World::new(1, 1);
     world.keeps = 1.0;
     world.host("h9", POOL);
@@ -59,7 +59,7 @@
 
 /// Orders for one life were taken for carried out there, though the next one got them.
 #[test]
-fn agents_that_start_again_under_their_ids_start_nothing_twice() {
+fn agents_that_restart_under_their_ids_start_nothing_twice() {
     let faults = Faults {
         ghosts: 0.5,
         ..Faults::default()
@@ -70,7 +70,7 @@
 
 /// The same beside answers that are lost and agents that aren't well.
 #[test]
-fn agents_that_start_again_beside_lost_answers_start_nothing_twice() {
+fn agents_that_restart_beside_lost_answers_start_nothing_twice() {
     let faults = Faults {
         lost: 0.05,
         failing: 0.03,
@@ -84,7 +84,7 @@
 
 /// The same beside orders that are carried out seconds late.
 #[test]
-fn agents_that_start_again_beside_late_orders_start_nothing_twice() {
+fn agents_that_restart_beside_late_orders_start_nothing_twice() {
     let faults = Faults {
         late: 0.03,
         ghosts: 0.5,
@@ -96,7 +96,7 @@
 /// An acknowledgement for one life reached the next one, which forgot an end of a task that had been meant
 /// for the first; the task was started again.
 #[test]
-fn no_acknowledgement_for_one_life_is_taken_by_the_next() {
+fn no_acknowledgement_for_one_incarnation_is_accepted_by_the_next() {
     for seed in 0..SEEDS {
         let mut world = World::new(3, seed);
         world.keeps = 1.0;
@@ -201,7 +201,7 @@
 /// A task ran to its end at the next incarnation, which wasn't heard before the earlier one was over, and was
 /// started again.
 #[test]
-fn what_an_unheard_incarnation_has_done_is_not_started_again() {
+fn a_task_done_by_an_unknown_incarnation_is_not_started_again() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
         world.quiet = true;
@@ -215,7 +215,7 @@
 /// A task ended at the next incarnation after that had listed it as running and before the stop came, and
 /// was started again before the next list.
 #[test]
-fn what_ends_between_a_list_and_a_stop_is_not_started_again() {
+fn a_task_that_ends_between_a_report_and_a_stop_is_not_started_again() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
         let next = overtake(&mut world, 1000);
@@ -228,7 +228,7 @@
 /// A start came to the next incarnation after its first list, and the task ended before the stop came; it
 /// was started again before the next list.
 #[test]
-fn what_begins_after_a_list_and_ends_before_a_stop_is_not_started_again() {
+fn a_task_that_starts_after_a_report_and_ends_before_a_stop_is_not_started_again() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
         world.back = ms(40);
@@ -241,7 +241,7 @@
 /// A leader followed after the earlier incarnation had been found to be over, and started the task again
 /// before it had seen what the next one had done.
 #[test]
-fn what_an_unheard_incarnation_has_done_is_not_started_again_by_the_next_leader() {
+fn a_task_done_by_an_unknown_incarnation_is_not_started_again_by_the_next_leader() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
         world.quiet = true;
@@ -256,7 +256,7 @@
 
 /// The same beside a task that ends at any time after the next leader has begun.
 #[test]
-fn what_ends_between_a_list_and_a_stop_is_not_started_again_by_the_next_leader() {
+fn a_task_that_ends_between_a_report_and_a_stop_is_not_started_again_by_the_next_leader() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
         world.quiet = true;
@@ -274,7 +274,7 @@
 /// By the younger clock of the next incarnation the lease of a start ends later than was counted: the task
 /// could be started elsewhere, as that incarnation is cut off, and still run there.
 #[test]
-fn what_runs_at_the_next_incarnation_runs_no_longer_than_is_counted() {
+fn a_task_at_the_next_incarnation_runs_no_longer_than_the_leader_assumes() {
     let mut world = small();
     world.pass(ms(10_000));
     world.quiet = true;
@@ -289,7 +289,7 @@
 /// A task failed at incarnations that got what was meant for the one before, and none of these ends counted
 /// as an attempt.
 #[test]
-fn what_fails_at_the_next_incarnation_counts_as_an_attempt() {
+fn a_failure_at_the_next_incarnation_counts_as_an_attempt() {
     let mut world = small();
     // The ends of hosts aren't held against it, and each next incarnation is heard and told that its
     // end is known before the task is free.
@@ -323,7 +323,7 @@
 /// A task was done at the next incarnation, after the earlier one had been found to be over and before it was
 /// placed again; it was suspected of that end for ever, and the step after it never began.
 #[test]
-fn what_follows_a_suspect_that_the_next_incarnation_has_done_begins() {
+fn a_step_after_a_suspect_done_by_the_next_incarnation_starts() {
     let mut world = single();
     let mut steps = vec![step(1, 1, 20), step(1, 1, 20)];
     steps[1].after = vec![0];
@@ -341,7 +341,7 @@
 /// An acknowledgement for one life was overtaken by a start, and the next life forgot the end of what it had
 /// started.
 #[test]
-fn an_acknowledgement_that_a_start_overtakes_makes_the_next_life_forget_nothing() {
+fn an_acknowledgement_overtaken_by_a_start_makes_the_next_incarnation_forget_nothing() {
     none_is_redone(0..TURNS, |turns| {
         let mut world = small();
         world.submit(9, JobSpec::new("x", vec![step(9, 2, 200)]));
@@ -422,14 +422,14 @@
 
 /// All of it by chance, on many seeds.
 #[test]
-fn nothing_done_is_started_again_where_agents_start_again_in_series() {
+fn no_done_task_is_started_again_where_agents_restart_repeatedly() {
     let broken = hunt_all(1.0);
     assert!(broken.is_empty(), "{} seeds: {broken:#?}", broken.len());
 }
 
 /// The same where each life has an id of its own.
 #[test]
-fn nothing_done_is_started_again_where_agents_are_replaced_in_series() {
+fn no_done_task_is_started_again_where_agents_are_replaced_repeatedly() {
     let broken = hunt_all(0.0);
     assert!(broken.is_empty(), "{} seeds: {broken:#?}", broken.len());
 }
--- a/tests/workload/scarce.rs
+++ b/tests/workload/scarce_hosts.rs
@@ -162,7 +162,7 @@
 /// Deadly tasks kept starting beside each other, and jobs kept waiting, where each host ran lasting tasks
 /// that were suspected by the doing of others.
 #[test]
-fn no_deadly_task_starts_three_times_more_where_hosts_are_scarce() {
+fn no_poison_task_starts_three_times_more_where_hosts_are_scarce() {
     let mut shapes: Vec<_> = [3, 5, 6, 8]
         .map(|hosts| Shape {
             hosts,
