--- a/tests/workload/cancelled.rs
+++ b/tests/workload/cancelled.rs
@@ -19,19 +19,19 @@
 
 /// Which disturbances a world has.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
+struct Disturbances {
     faults: Faults,
     /// Leaders end, and others begin, now and then after a while without one.
     takeovers: bool,
     /// Agents are cut off and run on.
-    cuts: bool,
+    disconnections: bool,
     /// Agents are taken for gone, and known again with their next heartbeat.
-    burials: bool,
+    false_terminations: bool,
     /// No list shows a host, so that none is moved: a move ends what runs on where nobody looks.
-    still: bool,
+    hide_hosts: bool,
 }
 
-fn job(rng: &mut Pcg64Mcg) -> JobSpec {
+fn random_job(rng: &mut Pcg64Mcg) -> JobSpec {
     if rng.random_bool(0.5) {
         return JobSpec::new("x", vec![lasting(rng.random_range(1..4), 1)]);
     }
@@ -40,30 +40,30 @@
     JobSpec::new("x", vec![step(tasks, cores, rng.random_range(300..15_000))])
 }
 
-fn any(rng: &mut Pcg64Mcg, world: &World) -> MinionId {
+fn random_agent(rng: &mut Pcg64Mcg, world: &World) -> MinionId {
     let agents: Vec<_> = world.agents.keys().cloned().collect();
     agents[rng.random_range(0..agents.len())].clone()
 }
 
 /// Jobs come, and most are cancelled soon: for some seconds beside trouble, then for some without,
 /// in which late orders are still carried out.
-fn play(seed: u64, without: Protections, trouble: Trouble) {
+fn simulate(seed: u64, protections: Protections, disturbances: Disturbances) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x00ca_9ce1);
     let mut world = World::with_lease(8, seed, ms(10_000));
-    world.protections = without;
-    world.lax = trouble.burials;
+    world.protections = protections;
+    world.lax = disturbances.false_terminations;
     world.lead();
     for phase in 0..PHASES {
-        if trouble.still {
+        if disturbances.hide_hosts {
             world.unlisted = world.hosts.keys().cloned().collect();
         }
-        world.faults = trouble.faults;
+        world.faults = disturbances.faults;
         let first = phase * 16 + 1;
         for id in first..first + 16 {
             if id == first + 8 {
                 world.faults = Faults::default();
             }
-            world.submit(id, job(&mut rng));
+            world.submit(id, random_job(&mut rng));
             world.pass(ms(rng.random_range(0..900)));
             if rng.random_bool(0.8) {
                 let job = rng.random_range(id.saturating_sub(4).max(1)..=id);
@@ -71,7 +71,7 @@
             }
             world.pass(ms(rng.random_range(0..300)));
             if id < first + 8 {
-                disturb(&mut world, &mut rng, trouble);
+                disturb(&mut world, &mut rng, disturbances);
             }
         }
         for id in 1..first + 16 {
@@ -81,27 +81,27 @@
     }
 }
 
-fn disturb(world: &mut World, rng: &mut Pcg64Mcg, trouble: Trouble) {
+fn disturb(world: &mut World, rng: &mut Pcg64Mcg, disturbances: Disturbances) {
     match rng.random_range(0..8) {
-        0 if trouble.takeovers => {
+        0 if disturbances.takeovers => {
             world.depose();
             world.pass(ms(rng.random_range(0..3000)));
             world.lead();
         }
-        1 | 2 if trouble.cuts => {
-            let agent = any(rng, world);
+        1 | 2 if disturbances.disconnections => {
+            let agent = random_agent(rng, world);
             world.cut(&agent, ms(rng.random_range(500..16_000)));
         }
-        3 if trouble.burials => {
-            let agent = any(rng, world);
+        3 if disturbances.false_terminations => {
+            let agent = random_agent(rng, world);
             world.propose(Command::Terminated(agent));
         }
         4 => {
-            let agent = any(rng, world);
+            let agent = random_agent(rng, world);
             world.crash(&agent);
             let host = 100 + world.hosts.len();
             world.host(&format!("h{host}"), POOL);
-            if trouble.still {
+            if disturbances.hide_hosts {
                 world.unlisted.insert(format!("h{host}").into());
             }
         }
@@ -110,18 +110,23 @@
 }
 
 /// The seeds that fail, as they are found.
-fn failing(without: Protections, trouble: Trouble) -> impl Iterator<Item = u64> {
+fn failing_seeds(
+    protections: Protections,
+    disturbances: Disturbances,
+) -> impl Iterator<Item = u64> {
     let seeds = (0..SEEDS).chain(REGRESSIONS);
-    seeds.filter(move |seed| std::panic::catch_unwind(|| play(*seed, without, trouble)).is_err())
+    seeds.filter(move |seed| {
+        std::panic::catch_unwind(|| simulate(*seed, protections, disturbances)).is_err()
+    })
 }
 
 /// Plays all seeds, and names all those that fail.
-fn play_all(trouble: Trouble) {
-    let failed: Vec<_> = failing(Protections::default(), trouble).collect();
+fn assert_no_seed_fails(disturbances: Disturbances) {
+    let failed: Vec<_> = failing_seeds(Protections::default(), disturbances).collect();
     assert!(failed.is_empty(), "{} seeds fail: {failed:?}", failed.len());
 }
 
-fn late() -> Faults {
+fn late_orders() -> Faults {
     Faults {
         late: 0.2,
         unwell: 0.05,
@@ -131,110 +136,110 @@
 
 #[test]
 fn a_cancelled_job_stops_without_disturbances() {
-    play_all(Trouble::default());
+    assert_no_seed_fails(Disturbances::default());
 }
 
 #[test]
 fn a_cancelled_job_stops_when_orders_are_late() {
-    play_all(Trouble {
-        faults: late(),
-        ..Trouble::default()
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
+        ..Disturbances::default()
     });
 }
 
 #[test]
 fn a_cancelled_job_stops_when_late_leases_count_from_their_arrival() {
-    play_all(Trouble {
+    assert_no_seed_fails(Disturbances {
         faults: Faults {
             lenient: true,
-            ..late()
+            ..late_orders()
         },
-        ..Trouble::default()
+        ..Disturbances::default()
     });
 }
 
 #[test]
 fn a_cancelled_job_stops_when_leaders_change_and_are_absent() {
-    play_all(Trouble {
-        faults: late(),
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
         takeovers: true,
-        ..Trouble::default()
+        ..Disturbances::default()
     });
 }
 
 #[test]
 fn a_cancelled_job_stops_when_agents_are_disconnected() {
-    play_all(Trouble {
-        faults: late(),
-        cuts: true,
-        ..Trouble::default()
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
+        disconnections: true,
+        ..Disturbances::default()
     });
 }
 
 #[test]
 fn a_cancelled_job_stops_when_leaders_change_beside_disconnected_agents() {
-    play_all(Trouble {
+    assert_no_seed_fails(Disturbances {
         faults: Faults {
             lenient: true,
             lost: 0.05,
-            ..late()
+            ..late_orders()
         },
         takeovers: true,
-        cuts: true,
-        ..Trouble::default()
+        disconnections: true,
+        ..Disturbances::default()
     });
 }
 
 #[test]
 fn a_cancelled_job_stops_when_running_agents_are_declared_terminated() {
-    play_all(Trouble {
-        faults: late(),
-        burials: true,
-        ..Trouble::default()
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
+        false_terminations: true,
+        ..Disturbances::default()
     });
 }
 
 #[test]
 fn a_cancelled_job_stops_under_all_disturbances_at_once() {
-    play_all(Trouble {
+    assert_no_seed_fails(Disturbances {
         faults: Faults {
             lost: 0.05,
             failing: 0.03,
             off: 2.0,
-            ..late()
+            ..late_orders()
         },
         takeovers: true,
-        cuts: true,
-        burials: true,
-        still: false,
+        disconnections: true,
+        false_terminations: true,
+        hide_hosts: false,
     });
 }
 
 #[test]
 fn a_cancelled_job_stops_when_no_host_is_moved() {
-    play_all(Trouble {
-        faults: late(),
-        burials: true,
-        still: true,
-        ..Trouble::default()
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
+        false_terminations: true,
+        hide_hosts: true,
+        ..Disturbances::default()
     });
 }
 
 #[test]
 fn without_polls_of_idle_agents_a_cancelled_task_runs_on() {
     // Most of what would run on is refused by its agent already, as it comes after its deadline.
-    let without = Protections {
+    let protections = Protections {
         polls: false,
         deadlines: false,
         ..Protections::default()
     };
-    let trouble = Trouble {
-        faults: late(),
-        burials: true,
-        still: true,
-        ..Trouble::default()
+    let disturbances = Disturbances {
+        faults: late_orders(),
+        false_terminations: true,
+        hide_hosts: true,
+        ..Disturbances::default()
     };
-    assert!(failing(without, trouble).next().is_some());
+    assert!(failing_seeds(protections, disturbances).next().is_some());
 }
 
 #[test]
--- a/tests/workload/incarnations.rs
+++ b/tests/workload/incarnations.rs
@@ -10,14 +10,14 @@
 use crate::world::{World, ms, step};
 
 /// An agent has ended, and its successor runs a task, which another agent could run too.
-struct Succeeded {
+struct ReplacedAgent {
     world: World,
     /// What the ended incarnation said of itself.
     former: AgentRecord,
     successor: MinionId,
 }
 
-impl Succeeded {
+impl ReplacedAgent {
     fn new() -> Self {
         let mut world = World::new(1, 1);
         world.pass(ms(100));
@@ -35,13 +35,13 @@
     }
 
     /// The task runs where it is, and once, through a heartbeat of an ended incarnation.
-    fn outlives_beat(self, id: &MinionId, delay: Duration) {
+    fn assert_heartbeat_ignored(self, id: &MinionId, delay: Duration) {
         let Self {
             mut world,
             former,
             successor,
         } = self;
-        let before = world.sent["start"];
+        let starts_before = world.sent["start"];
         world.late_beat(id, &former, delay);
         world.pass(delay + ms(1000));
         assert!(
@@ -56,52 +56,52 @@
             world.state(1) == Some(JobState::Completed)
         });
         assert_eq!(world.starts.values().copied().collect::<Vec<_>>(), [1]);
-        let given = world.sent["start"] - before;
-        assert_eq!(given, 0, "nothing is given to the ended one");
+        let new_starts = world.sent["start"] - starts_before;
+        assert_eq!(new_starts, 0, "nothing is given to the ended one");
     }
 }
 
 #[test]
 fn a_late_heartbeat_soon_after_the_end_displaces_no_successor() {
-    let case = Succeeded::new();
+    let case = ReplacedAgent::new();
     let former = case.former.id.clone();
-    case.outlives_beat(&former, ms(50));
+    case.assert_heartbeat_ignored(&former, ms(50));
 }
 
 #[test]
 fn a_heartbeat_as_late_as_a_long_disconnection_displaces_no_successor() {
-    let case = Succeeded::new();
+    let case = ReplacedAgent::new();
     let former = case.former.id.clone();
-    case.outlives_beat(&former, ms(15_000));
+    case.assert_heartbeat_ignored(&former, ms(15_000));
 }
 
 #[test]
 fn a_late_heartbeat_to_another_leader_displaces_no_successor() {
-    let mut case = Succeeded::new();
+    let mut case = ReplacedAgent::new();
     case.world.depose();
     case.world.lead();
     let former = case.former.id.clone();
-    case.outlives_beat(&former, ms(500));
+    case.assert_heartbeat_ignored(&former, ms(500));
 }
 
 #[test]
 fn a_late_heartbeat_of_an_unknown_incarnation_displaces_no_successor() {
-    Succeeded::new().outlives_beat(&"unheard".into(), ms(50));
+    ReplacedAgent::new().assert_heartbeat_ignored(&"unheard".into(), ms(50));
 }
 
 #[test]
 fn a_claim_to_a_silent_address_changes_nothing_until_it_answers() {
-    let mut case = Succeeded::new();
+    let mut case = ReplacedAgent::new();
     let world = &mut case.world;
-    let before = world.sent["start"];
+    let starts_before = world.sent["start"];
     world.cut(&case.successor, ms(3000));
     world.late_beat(&"unheard".into(), &case.former, ms(50));
     // A job more than the other host has room for; the claimant would have it.
     world.submit(2, JobSpec::new("x", vec![step(2, 8, 500)]));
     world.pass(ms(2500));
     assert!(world.ledger.agent(&case.successor).is_some());
-    let given = world.sent["start"] - before;
-    assert_eq!(given, 2, "to the other host, one by one");
+    let new_starts = world.sent["start"] - starts_before;
+    assert_eq!(new_starts, 2, "to the other host, one by one");
     world.until("the address has answered", ms(2000), |world| {
         world.ledger.agent(&"unheard".into()).is_none()
     });
--- a/tests/workload/poison_false_positives.rs
+++ b/tests/workload/poison_false_positives.rs
@@ -18,270 +18,277 @@
 
 /// The seeds that every run plays.
 const SEEDS: RangeInclusive<u64> = 0..=5;
-const VARIABLE: &str = "EGRETPIN_WORLD_SEEDS";
+const SEEDS_VARIABLE: &str = "EGRETPIN_WORLD_SEEDS";
 /// The first of the jobs that last.
-const LASTING: u64 = 1_000_000;
+const FIRST_LONG_RUNNING_JOB: u64 = 1_000_000;
 /// How long a world is played with load, and after it.
-const LOADED: Duration = ms(20_000);
-const AFTER: Duration = ms(8000);
+const LOAD_TIME: Duration = ms(20_000);
+const SETTLE_TIME: Duration = ms(8000);
 /// The part of their pools' room that short tasks take on average.
-const LOAD: f64 = 0.5;
+const UTILIZATION: f64 = 0.5;
 /// How long most short tasks take, and the others.
-const WORK: (u64, u64) = (640, 2100);
+const TASK_MILLIS: (u64, u64) = (640, 2100);
 /// Cores of a short task.
-const CORES: u64 = 2;
+const TASK_CORES: u64 = 2;
 
 /// How hosts end by themselves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ending {
+enum CrashPattern {
     /// A part of them at the same moment, in both pools.
-    Together,
+    Simultaneous,
     /// A part of one pool's at the same moment.
-    InOnePool,
+    OnePool,
     /// One after the other.
-    InTurn,
+    Staggered,
     /// A part of them for good; others come in their place.
     Replaced,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Shape {
+struct Scenario {
     /// Hosts of each of the two pools.
     hosts: usize,
-    ending: Ending,
+    pattern: CrashPattern,
     /// The part of the hosts that end each time.
     share: f64,
     /// From one such time to the next.
-    pause: Duration,
+    interval: Duration,
     /// Whether leaders are lost near some of these times.
     takeovers: bool,
     /// Whether connections to an agent that dies are reset, and not silent.
-    resets: bool,
+    reset_connections: bool,
     /// Whether agents start again under the ids that they had.
-    keeps: bool,
+    reuse_ids: bool,
 }
 
-impl Default for Shape {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             hosts: 12,
-            ending: Ending::Together,
+            pattern: CrashPattern::Simultaneous,
             share: 0.15,
-            pause: ms(3000),
+            interval: ms(3000),
             takeovers: true,
-            resets: true,
-            keeps: false,
+            reset_connections: true,
+            reuse_ids: false,
         }
     }
 }
 
 /// A world, and where it stands.
-struct Play {
+struct Simulation {
     world: World,
     rng: Pcg64Mcg,
-    shape: Shape,
+    scenario: Scenario,
     /// Hosts that were added so far.
     hosts: usize,
     /// Jobs that were submitted so far.
     jobs: u64,
     /// Hosts that end next, and when.
-    ends: Vec<(Duration, String)>,
+    crashes: Vec<(Duration, String)>,
 }
 
-impl Play {
-    fn new(seed: u64, shape: Shape) -> Self {
-        let mut world = World::new(shape.hosts, seed);
-        world.resets = shape.resets;
-        world.keeps = if shape.keeps { 1.0 } else { 0.0 };
+impl Simulation {
+    fn new(seed: u64, scenario: Scenario) -> Self {
+        let mut world = World::new(scenario.hosts, seed);
+        world.resets = scenario.reset_connections;
+        world.keeps = if scenario.reuse_ids { 1.0 } else { 0.0 };
         world.away = ms(2000);
-        let mut play = Self {
+        let mut simulation = Self {
             world,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xacc),
-            shape,
-            hosts: shape.hosts,
+            scenario,
+            hosts: scenario.hosts,
             jobs: 0,
-            ends: Vec::new(),
+            crashes: Vec::new(),
         };
-        for _ in 0..shape.hosts {
-            play.add(OTHER);
+        for _ in 0..scenario.hosts {
+            simulation.add_host(OTHER);
         }
-        let tasks = u32::try_from(shape.hosts).unwrap();
-        for (job, queue) in (LASTING..).zip([QUEUE, SECOND, QUEUE, SECOND]) {
+        let tasks = u32::try_from(scenario.hosts).unwrap();
+        for (job, queue) in (FIRST_LONG_RUNNING_JOB..).zip([QUEUE, SECOND, QUEUE, SECOND]) {
             let spec = JobSpec::new("x", vec![lasting(tasks, 1)]);
-            play.world.submit_to(queue, job, spec);
+            simulation.world.submit_to(queue, job, spec);
         }
-        play
+        simulation
     }
 
-    fn add(&mut self, pool: &str) {
+    fn add_host(&mut self, pool: &str) {
         self.world.host(&format!("h{}", self.hosts), pool);
         self.hosts += 1;
     }
 
     /// Jobs in the step of time that comes, as many as the load asks.
     fn submit(&mut self, span: Duration) {
-        let room = (self.shape.hosts * 8) as f64 * LOAD;
+        let busy_cores = (self.scenario.hosts * 8) as f64 * UTILIZATION;
         for queue in [QUEUE, SECOND] {
-            let mut left = room * span.as_secs_f64();
-            while left > 0.0 {
+            let mut remaining = busy_cores * span.as_secs_f64();
+            while remaining > 0.0 {
                 let tasks = self.rng.random_range(3..9);
                 let work = if self.rng.random_bool(0.8) {
-                    WORK.0
+                    TASK_MILLIS.0
                 } else {
-                    WORK.1
+                    TASK_MILLIS.1
                 };
-                let cost = f64::from(tasks) * CORES as f64 * ms(work).as_secs_f64();
-                if !self.rng.random_bool((left / cost).min(1.0)) {
+                let cost = f64::from(tasks) * TASK_CORES as f64 * ms(work).as_secs_f64();
+                if !self.rng.random_bool((remaining / cost).min(1.0)) {
                     break;
                 }
-                left -= cost;
+                remaining -= cost;
                 self.jobs += 1;
-                let spec = JobSpec::new("x", vec![step(tasks, CORES, work)]);
+                let spec = JobSpec::new("x", vec![step(tasks, TASK_CORES, work)]);
                 self.world.submit_to(queue, self.jobs, spec);
             }
         }
     }
 
     /// Chooses the hosts that end now, or from now on.
-    fn strike(&mut self) {
-        let pool = (self.shape.ending == Ending::InOnePool).then_some(OTHER);
+    fn schedule_crashes(&mut self) {
+        let pool = (self.scenario.pattern == CrashPattern::OnePool).then_some(OTHER);
         let views = self.world.hosts.iter();
-        let there = views.filter(|(_, view)| pool.is_none_or(|pool| &*view.pool == pool));
-        let mut hosts: Vec<_> = there.map(|(host, _)| host.to_string()).collect();
+        let candidates = views.filter(|(_, view)| pool.is_none_or(|pool| &*view.pool == pool));
+        let mut hosts: Vec<_> = candidates.map(|(host, _)| host.to_string()).collect();
         hosts.shuffle(&mut self.rng);
-        let count = (hosts.len() as f64 * self.shape.share).ceil() as usize;
-        let apart = if self.shape.ending == Ending::InTurn {
-            self.shape.pause / u32::try_from(count).unwrap()
+        let count = (hosts.len() as f64 * self.scenario.share).ceil() as usize;
+        let spacing = if self.scenario.pattern == CrashPattern::Staggered {
+            self.scenario.interval / u32::try_from(count).unwrap()
         } else {
             Duration::ZERO
         };
         let now = self.world.now;
-        let ends = (0_u32..).zip(hosts.into_iter().take(count));
-        self.ends
-            .extend(ends.map(|(ix, host)| (now + apart * ix, host)));
+        let crashes = (0_u32..).zip(hosts.into_iter().take(count));
+        self.crashes
+            .extend(crashes.map(|(ix, host)| (now + spacing * ix, host)));
     }
 
     /// Ends the hosts whose time has come.
-    fn end(&mut self) {
+    fn crash_due_hosts(&mut self) {
         let now = self.world.now;
-        let (due, later) = self.ends.drain(..).partition(|(at, _)| *at <= now);
-        self.ends = later;
+        let (due, later) = self.crashes.drain(..).partition(|(at, _)| *at <= now);
+        self.crashes = later;
         let due: Vec<(Duration, String)> = due;
         for (_, host) in due {
             let host = host.as_str().into();
             let Some(agent) = self.world.living(&host) else {
                 continue;
             };
-            if self.shape.ending != Ending::Replaced {
+            if self.scenario.pattern != CrashPattern::Replaced {
                 self.world.restart(&agent);
                 continue;
             }
             let pool = self.world.hosts[&host].pool.to_string();
             self.world.restart(&agent);
             self.world.hosts.remove(&host);
-            self.add(&pool);
+            self.add_host(&pool);
         }
     }
 
     /// Has the leader be lost, and another one lead some time later.
-    fn depose(&mut self) {
+    fn replace_leader(&mut self) {
         self.world.depose();
-        let without = self.rng.random_range(300..1000);
-        self.world.pass(ms(without));
+        let gap = self.rng.random_range(300..1000);
+        self.world.pass(ms(gap));
         self.world.lead();
     }
 
     /// What was convicted.
     fn run(mut self) -> Vec<String> {
-        const STEP: Duration = ms(20);
+        const TICK: Duration = ms(20);
         self.world.pass(ms(3000));
-        let end = self.world.now + LOADED;
-        let mut strike = self.world.now + self.shape.pause;
-        let mut depose = None;
+        let end = self.world.now + LOAD_TIME;
+        let mut next_crash = self.world.now + self.scenario.interval;
+        let mut takeover_at = None;
         while self.world.now < end {
-            self.submit(STEP);
-            if self.world.now >= strike {
-                strike += self.shape.pause;
-                self.strike();
+            self.submit(TICK);
+            if self.world.now >= next_crash {
+                next_crash += self.scenario.interval;
+                self.schedule_crashes();
                 let after = ms(self.rng.random_range(0..1500));
-                depose = (self.shape.takeovers && self.rng.random_bool(0.5))
+                takeover_at = (self.scenario.takeovers && self.rng.random_bool(0.5))
                     .then_some(self.world.now + after);
             }
-            self.end();
-            if depose.is_some_and(|at| self.world.now >= at) {
-                depose = None;
-                self.depose();
+            self.crash_due_hosts();
+            if takeover_at.is_some_and(|at| self.world.now >= at) {
+                takeover_at = None;
+                self.replace_leader();
             }
-            self.world.pass(STEP);
+            self.world.pass(TICK);
         }
-        self.world.pass(AFTER);
+        self.world.pass(SETTLE_TIME);
         let jobs = self.world.ledger.jobs();
         let failed = jobs.filter(|(_, job)| job.state == JobState::Failed);
-        let told = failed.map(|(id, job)| {
-            let convicted = job.poison_task.map(|task| task.to_string());
-            format!("job {id}, {convicted:?}: {}", self.held(id).join(", "))
+        let reports = failed.map(|(id, job)| {
+            let poison_task = job.poison_task.map(|task| task.to_string());
+            format!(
+                "job {id}, {poison_task:?}: {}",
+                self.crash_evidence(id).join(", ")
+            )
         });
-        told.collect()
+        reports.collect()
     }
 
     /// What the ends of agents proved against the tasks of a job.
-    fn held(&self, job: JobId) -> Vec<String> {
+    fn crash_evidence(&self, job: JobId) -> Vec<String> {
         let commands = self.world.committed.iter();
         let crashes = commands.filter_map(|command| match command {
             Command::Crashed(crash) => Some(crash),
             _ => None,
         });
-        let held = crashes.flat_map(|crash| {
+        let evidence = crashes.flat_map(|crash| {
             let tasks = crash.tasks.iter();
-            let tasks = tasks.filter(|present| present.task.step.job == job);
-            tasks.map(|present| format!("{} {present:?} of {}", crash.agent, crash.tasks.len()))
+            let tasks = tasks.filter(|crashed| crashed.task.step.job == job);
+            tasks.map(|crashed| format!("{} {crashed:?} of {}", crash.agent, crash.tasks.len()))
         });
-        held.collect()
+        evidence.collect()
     }
 }
 
 /// The seeds that are to be played.
 fn seeds() -> RangeInclusive<u64> {
-    let Ok(given) = std::env::var(VARIABLE) else {
+    let Ok(given) = std::env::var(SEEDS_VARIABLE) else {
         return SEEDS;
     };
     let bounds = given.split_once('-');
     let bounds = bounds.and_then(|(from, to)| Some(from.parse().ok()?..=to.parse().ok()?));
-    bounds.unwrap_or_else(|| panic!("{VARIABLE} is {given}; write it as FROM-TO"))
+    bounds.unwrap_or_else(|| panic!("{SEEDS_VARIABLE} is {given}; write it as FROM-TO"))
 }
 
-fn assert_acquitted(shapes: &[Shape]) {
-    let mut faults = Vec::new();
-    for shape in shapes {
+fn assert_no_job_fails(scenarios: &[Scenario]) {
+    let mut failures = Vec::new();
+    for scenario in scenarios {
         for seed in seeds() {
-            let found = Play::new(seed, *shape).run();
-            if !found.is_empty() {
-                faults.push(format!("{shape:?}, seed {seed}: {}", found.join("; ")));
+            let failed = Simulation::new(seed, *scenario).run();
+            if !failed.is_empty() {
+                failures.push(format!("{scenario:?}, seed {seed}: {}", failed.join("; ")));
             }
         }
     }
-    let count = faults.len();
-    assert!(faults.is_empty(), "{count} worlds:\n{}", faults.join("\n"));
+    let count = failures.len();
+    assert!(
+        failures.is_empty(),
+        "{count} worlds:\n{}",
+        failures.join("\n")
+    );
 }
 
 /// Innocent jobs were convicted where tenths of the fleet crashed together.
 #[test]
 fn no_job_fails_as_poison_where_hosts_crash_together() {
-    let base = Shape::default();
-    assert_acquitted(&[
+    let base = Scenario::default();
+    assert_no_job_fails(&[
         base,
-        Shape {
-            resets: false,
+        Scenario {
+            reset_connections: false,
             ..base
         },
-        Shape {
+        Scenario {
             takeovers: false,
             share: 0.25,
             ..base
         },
-        Shape { hosts: 40, ..base },
-        Shape {
-            keeps: true,
+        Scenario { hosts: 40, ..base },
+        Scenario {
+            reuse_ids: true,
             ..base
         },
     ]);
@@ -290,36 +297,36 @@
 /// The same where all that crash are of one pool.
 #[test]
 fn no_job_fails_as_poison_where_hosts_of_one_pool_crash_together() {
-    let base = Shape {
-        ending: Ending::InOnePool,
+    let base = Scenario {
+        pattern: CrashPattern::OnePool,
         share: 0.2,
-        ..Shape::default()
+        ..Scenario::default()
     };
-    assert_acquitted(&[
+    assert_no_job_fails(&[
         base,
-        Shape {
-            resets: false,
+        Scenario {
+            reset_connections: false,
             takeovers: false,
             ..base
         },
-        Shape { hosts: 40, ..base },
+        Scenario { hosts: 40, ..base },
     ]);
 }
 
 /// The same where they are replaced for good, or crash one after the other.
 #[test]
 fn no_job_fails_as_poison_where_hosts_are_replaced_or_crash_in_turn() {
-    let base = Shape {
-        ending: Ending::Replaced,
-        ..Shape::default()
+    let base = Scenario {
+        pattern: CrashPattern::Replaced,
+        ..Scenario::default()
     };
-    assert_acquitted(&[
+    assert_no_job_fails(&[
         base,
-        Shape {
-            ending: Ending::InTurn,
+        Scenario {
+            pattern: CrashPattern::Staggered,
             ..base
         },
-        Shape {
+        Scenario {
             hosts: 40,
             share: 0.2,
             ..base
@@ -363,12 +370,12 @@
     });
     let tasks: Vec<_> = crashes.flat_map(|crash| &crash.tasks).collect();
     assert!(!tasks.is_empty());
-    for present in tasks {
-        assert!(!present.started, "{present:?}");
+    for crashed in tasks {
+        assert!(!crashed.started, "{crashed:?}");
         assert_eq!(
-            (present.weight, present.timing_weight),
+            (crashed.weight, crashed.timing_weight),
             (0, 0),
-            "{present:?}"
+            "{crashed:?}"
         );
     }
 }
--- a/tests/workload/poison_tasks.rs
+++ b/tests/workload/poison_tasks.rs
@@ -25,15 +25,15 @@
 use crate::world::{GUIDED, MOST_HOSTS, SPARE, World, lasting, ms, step};
 
 /// The job that lasts.
-const LASTING: u64 = 1000;
+const LONG_RUNNING_JOB: u64 = 1000;
 /// Worlds that are played of each kind.
 const SEEDS: u64 = 12;
 /// And of those that take longer.
-const FEW_SEEDS: u64 = 4;
+const SLOW_SEEDS: u64 = 4;
 
 /// A world, and what befalls it besides.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Beside {
+struct Scenario {
     hosts: usize,
     /// The part of the jobs that are deadly.
     share: f64,
@@ -42,47 +42,47 @@
     /// How long other tasks take.
     work: Duration,
     /// From one job to the next.
-    pause: Duration,
+    interval: Duration,
     seeds: u64,
     /// The hosts that each of them ends in the worlds that it is compared with.
-    unavoidable: u32,
+    baseline_kills: u32,
     /// The leader ends in the midst of it, and another follows.
     takeover: bool,
     /// It does each so many jobs.
     takeovers: Option<u64>,
     /// All hosts of four racks end at once.
-    dark: bool,
+    rack_outage: bool,
     /// Hosts end by themselves, one each two seconds.
     crashes: bool,
 }
 
-impl Default for Beside {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             hosts: 24,
             share: 0.1,
             delays: (ms(20), ms(20)),
             work: ms(500),
-            pause: ms(80),
+            interval: ms(80),
             seeds: SEEDS,
-            unavoidable: 0,
+            baseline_kills: 0,
             takeover: false,
             takeovers: None,
-            dark: false,
+            rack_outage: false,
             crashes: false,
         }
     }
 }
 
-impl Beside {
+impl Scenario {
     /// Deadly tasks that end their hosts so long after their starts, among others that take longer.
-    fn later(delay: Duration) -> Self {
+    fn delayed_crashes(delay: Duration) -> Self {
         Self {
             delays: (delay, delay),
             work: ms(1500),
-            pause: ms(120),
-            seeds: FEW_SEEDS,
-            unavoidable: 1,
+            interval: ms(120),
+            seeds: SLOW_SEEDS,
+            baseline_kills: 1,
             ..Self::default()
         }
     }
@@ -95,234 +95,237 @@
 
 /// What came of the jobs that aren't deadly.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Innocent {
-    done: usize,
-    timely: usize,
+struct Outcome {
+    completed: usize,
+    on_time: usize,
     /// What broke a promise, by seed.
-    faults: Vec<String>,
+    violations: Vec<String>,
 }
 
 /// A hundred and twenty jobs of which some are deadly, and end so many hosts at most.
-fn play(seed: u64, most: u32, beside: Beside) -> Innocent {
-    const JOBS: u64 = 120;
-    let mut world = World::new(beside.hosts, seed);
+fn simulate(seed: u64, max_kills: u32, scenario: Scenario) -> Outcome {
+    const JOB_COUNT: u64 = 120;
+    let mut world = World::new(scenario.hosts, seed);
     world.resets = true;
-    world.delays = beside.delays;
-    world.most = most;
-    for spare in 100..108 {
-        world.host(&format!("h{spare}"), SPARE);
+    world.delays = scenario.delays;
+    world.most = max_kills;
+    for host in 100..108 {
+        world.host(&format!("h{host}"), SPARE);
     }
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xdead);
-    world.submit(LASTING, JobSpec::new("x", vec![lasting(4, 1)]));
+    world.submit(LONG_RUNNING_JOB, JobSpec::new("x", vec![lasting(4, 1)]));
     world.pass(ms(2000));
     let mut due = BTreeMap::new();
-    let mut innocent = Innocent::default();
-    let work = u64::try_from(beside.work.as_millis()).unwrap();
-    for job in 1..=JOBS {
+    let mut outcome = Outcome::default();
+    let work = u64::try_from(scenario.work.as_millis()).unwrap();
+    for job in 1..=JOB_COUNT {
         let tasks = rng.random_range(3..9);
         world.submit(job, JobSpec::new("x", vec![step(tasks, 2, work)]));
-        if rng.random_bool(beside.share) {
+        if rng.random_bool(scenario.share) {
             // Where none is deadly those are left out as well, so that the same jobs are compared.
             world.deadly.insert(job, 1);
         } else {
-            due.insert(job, world.now + beside.objective());
+            due.insert(job, world.now + scenario.objective());
         }
-        let turn = beside
+        let is_due = scenario
             .takeovers
             .is_some_and(|jobs| job.is_multiple_of(jobs));
-        if (beside.takeover && job == 60) || turn {
+        if (scenario.takeover && job == 60) || is_due {
             world.depose();
             world.pass(ms(300));
             world.lead();
         }
-        if beside.dark && job == 50 {
+        if scenario.rack_outage && job == 50 {
             for host in 0..8 {
-                end(&mut world, &format!("h{host}"));
+                crash_host(&mut world, &format!("h{host}"));
             }
         }
-        if beside.crashes && job.is_multiple_of(24) {
+        if scenario.crashes && job.is_multiple_of(24) {
             let host = rng.random_range(0..24);
-            end(&mut world, &format!("h{host}"));
+            crash_host(&mut world, &format!("h{host}"));
         }
-        let end = world.now + beside.pause;
+        let end = world.now + scenario.interval;
         while world.now < end {
             world.pass(ms(10));
-            settle(&world, &mut due, &mut innocent);
+            count_completed(&world, &mut due, &mut outcome);
         }
     }
     // What a deadly task may cost, its wait for a host each time, and until nobody is suspected any more.
-    let end = world.now + ms(45_000) + (beside.delays.1 + beside.work) * (2 * MOST_HOSTS);
+    let end = world.now + ms(45_000) + (scenario.delays.1 + scenario.work) * (2 * MOST_HOSTS);
     while world.now < end {
         world.pass(ms(10));
-        settle(&world, &mut due, &mut innocent);
+        count_completed(&world, &mut due, &mut outcome);
     }
-    let mut faults = Vec::new();
-    let over = world.killed.values().filter(|hosts| **hosts > MOST_HOSTS);
-    let (over, of) = (over.count(), world.killed.len());
-    if over > 0 {
-        let most = world.killed.values().max();
-        faults.push(format!(
-            "{over} of {of} deadly tasks cost over {MOST_HOSTS} hosts, one {most:?}"
+    let mut violations = Vec::new();
+    let over_limit = world.killed.values().filter(|hosts| **hosts > MOST_HOSTS);
+    let (over_limit, killers) = (over_limit.count(), world.killed.len());
+    if over_limit > 0 {
+        let max_killed = world.killed.values().max();
+        violations.push(format!(
+            "{over_limit} of {killers} deadly tasks cost over {MOST_HOSTS} hosts, one {max_killed:?}"
         ));
     }
     for job in world.deadly.keys() {
         // What was proposed when a leader ended may not have been accepted.
         let state = world.state(*job);
-        if most == u32::MAX && !matches!(state, Some(JobState::Failed) | None) {
-            faults.push(format!("deadly job {job} is {state:?}"));
+        if max_kills == u32::MAX && !matches!(state, Some(JobState::Failed) | None) {
+            violations.push(format!("deadly job {job} is {state:?}"));
         }
     }
     for (id, job) in world.ledger.jobs() {
         // Those that end no host are like any other.
-        let deadly = most > 0 && world.deadly.contains_key(&id);
-        if !deadly && id != LASTING && job.state != JobState::Completed {
-            faults.push(format!("job {id} is {:?}", job.state));
+        let is_poison = max_kills > 0 && world.deadly.contains_key(&id);
+        if !is_poison && id != LONG_RUNNING_JOB && job.state != JobState::Completed {
+            violations.push(format!("job {id} is {:?}", job.state));
         }
     }
-    let lasting = world.runs(LASTING).len();
-    if lasting != 4 {
-        faults.push(format!("{lasting} of 4 lasting tasks run"));
+    let running = world.runs(LONG_RUNNING_JOB).len();
+    if running != 4 {
+        violations.push(format!("{running} of 4 lasting tasks run"));
     }
     if world.scheduler.as_ref().map(Scheduler::suspected) != Some(0) {
-        faults.push("tasks are still suspected".to_owned());
+        violations.push("tasks are still suspected".to_owned());
     }
-    if !faults.is_empty() {
-        innocent
-            .faults
-            .push(format!("seed {seed}: {}", faults.join("; ")));
+    if !violations.is_empty() {
+        outcome
+            .violations
+            .push(format!("seed {seed}: {}", violations.join("; ")));
     }
-    innocent
+    outcome
 }
 
 /// Has a host end, if it is up, and come back.
-fn end(world: &mut World, host: &str) {
+fn crash_host(world: &mut World, host: &str) {
     if let Some(agent) = world.living(&host.into()) {
         world.restart(&agent);
     }
 }
 
 /// Counts the innocent jobs that are done by now.
-fn settle(world: &World, due: &mut BTreeMap<u64, Duration>, innocent: &mut Innocent) {
+fn count_completed(world: &World, due: &mut BTreeMap<u64, Duration>, outcome: &mut Outcome) {
     due.retain(|job, due| {
-        let done = world.state(*job) == Some(JobState::Completed);
-        innocent.done += usize::from(done);
-        innocent.timely += usize::from(done && world.now <= *due);
-        !done
+        let completed = world.state(*job) == Some(JobState::Completed);
+        outcome.completed += usize::from(completed);
+        outcome.on_time += usize::from(completed && world.now <= *due);
+        !completed
     });
 }
 
 /// Worlds of all seeds in which a deadly task ends so many hosts at most.
-fn play_all(most: u32, beside: Beside) -> Innocent {
-    let mut sum = Innocent::default();
-    for seed in 0..beside.seeds {
-        let one = play(seed, most, beside);
-        sum.done += one.done;
-        sum.timely += one.timely;
-        sum.faults.extend(one.faults);
+fn simulate_all(max_kills: u32, scenario: Scenario) -> Outcome {
+    let mut total = Outcome::default();
+    for seed in 0..scenario.seeds {
+        let result = simulate(seed, max_kills, scenario);
+        total.completed += result.completed;
+        total.on_time += result.on_time;
+        total.violations.extend(result.violations);
     }
-    sum
+    total
 }
 
 /// What broke a promise in such worlds, and whether nine tenths of what is in time there without deadly
 /// jobs is in time with them. What runs for long is late, too, where others end their first host, which
 /// nothing can tell before: it is compared with worlds in which they end that one only.
-fn faults(beside: Beside) -> Vec<String> {
-    let with = play_all(u32::MAX, beside);
-    let without = play_all(beside.unavoidable, beside);
-    let mut faults = with.faults;
-    faults.extend(without.faults);
+fn violations(scenario: Scenario) -> Vec<String> {
+    let with_poison = simulate_all(u32::MAX, scenario);
+    let baseline = simulate_all(scenario.baseline_kills, scenario);
+    let mut violations = with_poison.violations;
+    violations.extend(baseline.violations);
     println!(
-        "{beside:?}: {} of {} done, {} of {} in time, {} faults",
-        with.done,
-        without.done,
-        with.timely,
-        without.timely,
-        faults.len()
+        "{scenario:?}: {} of {} completed, {} of {} in time, {} violations",
+        with_poison.completed,
+        baseline.completed,
+        with_poison.on_time,
+        baseline.on_time,
+        violations.len()
     );
-    if with.timely * 10 < without.timely * 9 {
-        faults.push(format!(
+    if with_poison.on_time * 10 < baseline.on_time * 9 {
+        violations.push(format!(
             "{} in time with deadly jobs, {} without",
-            with.timely, without.timely
+            with_poison.on_time, baseline.on_time
         ));
     }
-    faults
+    violations
 }
 
-fn assert_served(beside: Beside) {
-    let faults = faults(beside);
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+fn assert_others_served(scenario: Scenario) {
+    let violations = violations(scenario);
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
 fn poison_tasks_fail_and_other_jobs_are_served() {
-    assert_served(Beside::default());
+    assert_others_served(Scenario::default());
 }
 
 #[test]
 fn poison_tasks_fail_across_a_leader_change() {
-    assert_served(Beside {
+    assert_others_served(Scenario {
         takeover: true,
-        ..Beside::default()
+        ..Scenario::default()
     });
 }
 
 #[test]
 fn a_rack_outage_beside_poison_tasks_fails_no_other_job() {
-    assert_served(Beside {
-        dark: true,
-        ..Beside::default()
+    assert_others_served(Scenario {
+        rack_outage: true,
+        ..Scenario::default()
     });
 }
 
 #[test]
 fn unrelated_host_crashes_beside_poison_tasks_fail_no_other_job() {
-    assert_served(Beside {
+    assert_others_served(Scenario {
         crashes: true,
         takeover: true,
-        ..Beside::default()
+        ..Scenario::default()
     });
 }
 
 /// Worlds in which deadly tasks end their hosts later, or in which there is less to tell them by.
-fn later() -> Vec<Beside> {
-    let mut worlds: Vec<_> = [20, 260, 300, 600, 1000]
-        .map(|delay| Beside::later(ms(delay)))
+fn delayed_crash_scenarios() -> Vec<Scenario> {
+    let mut scenarios: Vec<_> = [20, 260, 300, 600, 1000]
+        .map(|delay| Scenario::delayed_crashes(ms(delay)))
         .into();
-    worlds.push(Beside {
+    scenarios.push(Scenario {
         work: ms(8000),
         share: 0.03,
-        pause: ms(400),
-        ..Beside::later(ms(5000))
+        interval: ms(400),
+        ..Scenario::delayed_crashes(ms(5000))
     });
-    worlds.push(Beside {
+    scenarios.push(Scenario {
         delays: (ms(20), ms(820)),
-        ..Beside::later(ms(0))
+        ..Scenario::delayed_crashes(ms(0))
     });
-    worlds.push(Beside {
+    scenarios.push(Scenario {
         takeovers: Some(15),
-        ..Beside::later(ms(600))
+        ..Scenario::delayed_crashes(ms(600))
     });
-    worlds.extend([20, 400, 1000].map(|delay| Beside {
+    scenarios.extend([20, 400, 1000].map(|delay| Scenario {
         hosts: 9,
-        pause: ms(320),
-        ..Beside::later(ms(delay))
+        interval: ms(320),
+        ..Scenario::delayed_crashes(ms(delay))
     }));
-    worlds
+    scenarios
 }
 
 #[test]
 fn no_task_starts_again_after_its_third_host_crash() {
-    let faults: Vec<_> = later().into_iter().flat_map(faults).collect();
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    let violations: Vec<_> = delayed_crash_scenarios()
+        .into_iter()
+        .flat_map(violations)
+        .collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 /// A lasting task ends its hosts, and other lasting tasks go on; how many hosts it cost, where the fleet was
 /// at work for so long before.
-fn play_lasting(before: Duration) -> u32 {
+fn hosts_lost_to_long_running_task(idle_time: Duration) -> u32 {
     let mut world = World::new(8, 3);
     world.deadly.insert(1, 1);
     world.submit(2, JobSpec::new("x", vec![lasting(4, 2)]));
-    world.pass(before);
+    world.pass(idle_time);
     world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
     world.until("it is convicted", ms(30_000), |world| {
         world.state(1) == Some(JobState::Failed)
@@ -337,19 +340,19 @@
 #[test]
 fn a_long_running_poison_task_fails_and_its_neighbours_go_on() {
     // Four hosts at work for seconds don't show how often such hosts end.
-    assert!(play_lasting(Duration::ZERO) <= MOST_HOSTS + 2);
-    assert!(play_lasting(ms(60_000)) <= MOST_HOSTS);
+    assert!(hosts_lost_to_long_running_task(Duration::ZERO) <= MOST_HOSTS + 2);
+    assert!(hosts_lost_to_long_running_task(ms(60_000)) <= MOST_HOSTS);
 }
 
 #[test]
 fn long_running_tasks_survive_any_number_of_unrelated_host_crashes() {
-    for seed in 0..FEW_SEEDS {
+    for seed in 0..SLOW_SEEDS {
         let mut world = World::new(6, seed);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
         world.submit(2, JobSpec::new("x", vec![lasting(6, 1)]));
-        let mut ends = 0;
-        while ends < 8 {
+        let mut crashes = 0;
+        while crashes < 8 {
             world.pass(ms(1200));
             for job in [1, 2] {
                 let state = world.state(job);
@@ -357,11 +360,11 @@
             }
             let host = format!("h{}", rng.random_range(0..6));
             let runs = world.runs(1);
-            ends += u32::from(
+            crashes += u32::from(
                 runs.iter()
                     .any(|(agent, _)| *world.agents[agent].host == *host),
             );
-            end(&mut world, &host);
+            crash_host(&mut world, &host);
         }
         world.until("it runs", ms(9000), |world| world.runs(1).len() == 1);
     }
--- a/tests/workload/restarted_agents.rs
+++ b/tests/workload/restarted_agents.rs
@@ -27,7 +27,7 @@
 /// Worlds that are played of each kind.
 const SEEDS: u64 = 24;
 /// The variable that names other seeds of the worlds in which all comes by chance: the first and the last.
-const VARIABLE: &str = "EGRETPIN_WORLD_SEEDS";
+const SEEDS_VARIABLE: &str = "EGRETPIN_WORLD_SEEDS";
 
 /// A task was started again after it had been done: its end was taken for one of the life before.
 #[test]
@@ -47,11 +47,11 @@
 
 /// Plays worlds in which this part of the agents keep their ids, with and without leaders that follow each
 /// other.
-fn play_all(keeps: f64, faults: Faults) {
+fn simulate_all(id_reuse: f64, faults: Faults) {
     for seed in 0..SEEDS {
         for takeovers in [false, true] {
             let mut world = World::new(6, seed);
-            world.keeps = keeps;
+            world.keeps = id_reuse;
             play(world, seed, faults, takeovers);
         }
     }
@@ -64,8 +64,8 @@
         ghosts: 0.5,
         ..Faults::default()
     };
-    play_all(1.0, faults);
-    play_all(0.5, faults);
+    simulate_all(1.0, faults);
+    simulate_all(0.5, faults);
 }
 
 /// The same beside answers that are lost and agents that aren't well.
@@ -79,7 +79,7 @@
         ghosts: 0.5,
         ..Faults::default()
     };
-    play_all(1.0, faults);
+    simulate_all(1.0, faults);
 }
 
 /// The same beside orders that are carried out seconds late.
@@ -90,7 +90,7 @@
         ghosts: 0.5,
         ..Faults::default()
     };
-    play_all(1.0, faults);
+    simulate_all(1.0, faults);
 }
 
 /// An acknowledgement for one life reached the next one, which forgot an end of a task that had been meant
@@ -119,11 +119,11 @@
 }
 
 /// A step of the world's time.
-const TURN: Duration = ms(5);
+const TICK: Duration = ms(5);
 /// How often a task may fail.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// Steps within which something that is forced happens.
-const TURNS: u32 = 60;
+const MAX_TICKS: u32 = 60;
 /// The job that each forced order of events is about, and its only task.
 const JOB: u64 = 1;
 const TASK: TaskId = TaskId {
@@ -136,7 +136,7 @@
 };
 
 /// Three hosts whose agents keep their ids, and one of another pool.
-fn small() -> World {
+fn three_hosts() -> World {
     let mut world = World::new(0, 1);
     world.keeps = 1.0;
     world.counts = true;
@@ -149,7 +149,7 @@
 }
 
 /// A host whose agent keeps its id and is heard late when it has started again, and one of another pool.
-fn single() -> World {
+fn one_host() -> World {
     let mut world = World::new(0, 1);
     world.keeps = 1.0;
     world.host("h1", POOL);
@@ -161,7 +161,7 @@
 
 /// Has an agent end while the start of a task of so many milliseconds is under way to it; who is the next one
 /// there.
-fn overtake(world: &mut World, millis: u64) -> MinionId {
+fn restart_during_start(world: &mut World, millis: u64) -> MinionId {
     let starts = world.sent.get("start").copied().unwrap_or_default();
     world.submit(JOB, JobSpec::new("x", vec![step(1, 1, millis)]));
     world.until("its start is under way", ms(500), |world| {
@@ -173,7 +173,7 @@
 
 /// Plays on until the job is through and its ends are taken note of; whether the task was started again
 /// though a run of it had ended well, and whether that was taken note of.
-fn judge(mut world: World) -> (bool, bool) {
+fn complete_and_check(mut world: World) -> (bool, bool) {
     world.until("the job is through", ms(20_000), |world| {
         world.state(JOB) == Some(JobState::Completed)
     });
@@ -183,18 +183,18 @@
 
 /// No order of events out of some, by their numbers, has a task started again though a run of it had ended
 /// well.
-fn none_is_redone(orders: impl Iterator<Item = u32>, play: impl Fn(u32) -> World) {
-    let (mut count, mut repeated, mut noted) = (0, Vec::new(), 0);
+fn assert_no_rerun(orders: impl Iterator<Item = u32>, play: impl Fn(u32) -> World) {
+    let (mut count, mut reruns, mut acknowledged_count) = (0, Vec::new(), 0);
     for order in orders {
-        let (again, known) = judge(play(order));
+        let (is_rerun, is_acknowledged) = complete_and_check(play(order));
         count += 1;
-        noted += u32::from(known);
-        repeated.extend(again.then_some(order));
+        acknowledged_count += u32::from(is_acknowledged);
+        reruns.extend(is_rerun.then_some(order));
     }
-    let broken = repeated.len();
+    let failing = reruns.len();
     assert!(
-        repeated.is_empty(),
-        "in {broken} of {count} orders of events a done task was started again: {repeated:?}; in {noted} of them its end was taken note of"
+        reruns.is_empty(),
+        "in {failing} of {count} orders of events a done task was started again: {reruns:?}; in {acknowledged_count} of them its end was taken note of"
     );
 }
 
@@ -202,11 +202,11 @@
 /// started again.
 #[test]
 fn a_task_done_by_an_unknown_incarnation_is_not_started_again() {
-    none_is_redone(0..TURNS, |turns| {
-        let mut world = small();
+    assert_no_rerun(0..MAX_TICKS, |ticks| {
+        let mut world = three_hosts();
         world.quiet = true;
-        let next = overtake(&mut world, 1000);
-        world.pass(TURN * turns);
+        let next = restart_during_start(&mut world, 1000);
+        world.pass(TICK * ticks);
         world.finish(&next, TASK);
         world
     });
@@ -216,10 +216,10 @@
 /// was started again before the next list.
 #[test]
 fn a_task_that_ends_between_a_report_and_a_stop_is_not_started_again() {
-    none_is_redone(0..TURNS, |turns| {
-        let mut world = small();
-        let next = overtake(&mut world, 1000);
-        world.pass(TURN * turns);
+    assert_no_rerun(0..MAX_TICKS, |ticks| {
+        let mut world = three_hosts();
+        let next = restart_during_start(&mut world, 1000);
+        world.pass(TICK * ticks);
         world.finish(&next, TASK);
         world
     });
@@ -229,11 +229,11 @@
 /// was started again before the next list.
 #[test]
 fn a_task_that_starts_after_a_report_and_ends_before_a_stop_is_not_started_again() {
-    none_is_redone(0..TURNS, |turns| {
-        let mut world = small();
+    assert_no_rerun(0..MAX_TICKS, |ticks| {
+        let mut world = three_hosts();
         world.back = ms(40);
-        world.lags.insert("start", TURN * turns);
-        overtake(&mut world, 10);
+        world.lags.insert("start", TICK * ticks);
+        restart_during_start(&mut world, 10);
         world
     });
 }
@@ -242,11 +242,11 @@
 /// before it had seen what the next one had done.
 #[test]
 fn a_task_done_by_an_unknown_incarnation_is_not_started_again_by_the_next_leader() {
-    none_is_redone(0..TURNS, |turns| {
-        let mut world = small();
+    assert_no_rerun(0..MAX_TICKS, |ticks| {
+        let mut world = three_hosts();
         world.quiet = true;
-        overtake(&mut world, 20);
-        world.pass(TURN * turns);
+        restart_during_start(&mut world, 20);
+        world.pass(TICK * ticks);
         world.depose();
         world.pass(ms(100));
         world.lead();
@@ -257,15 +257,15 @@
 /// The same beside a task that ends at any time after the next leader has begun.
 #[test]
 fn a_task_that_ends_between_a_report_and_a_stop_is_not_started_again_by_the_next_leader() {
-    none_is_redone(0..TURNS, |turns| {
-        let mut world = small();
+    assert_no_rerun(0..MAX_TICKS, |ticks| {
+        let mut world = three_hosts();
         world.quiet = true;
-        let next = overtake(&mut world, 1000);
+        let next = restart_during_start(&mut world, 1000);
         world.pass(ms(5));
         world.depose();
         world.pass(ms(100));
         world.lead();
-        world.pass(TURN * turns);
+        world.pass(TICK * ticks);
         world.finish(&next, TASK);
         world
     });
@@ -275,11 +275,11 @@
 /// could be started elsewhere, as that incarnation is cut off, and still run there.
 #[test]
 fn a_task_at_the_next_incarnation_runs_no_longer_than_the_leader_assumes() {
-    let mut world = small();
+    let mut world = three_hosts();
     world.pass(ms(10_000));
     world.quiet = true;
-    let next = overtake(&mut world, 5000);
-    world.pass(TURN * 3);
+    let next = restart_during_start(&mut world, 5000);
+    world.pass(TICK * 3);
     world.cut(&next, ms(9000));
     world.until("the job is through", ms(30_000), |world| {
         world.state(JOB) == Some(JobState::Completed)
@@ -290,7 +290,7 @@
 /// as an attempt.
 #[test]
 fn a_failure_at_the_next_incarnation_counts_as_an_attempt() {
-    let mut world = small();
+    let mut world = three_hosts();
     // The ends of hosts aren't held against it, and each next incarnation is heard and told that its
     // end is known before the task is free.
     world.protections.suspicion = false;
@@ -299,15 +299,15 @@
     world.lead();
     world.pass(ms(2000));
     world.faults.failing = 1.0;
-    overtake(&mut world, 5);
-    for attempt in 2..=ATTEMPTS + 1 {
+    restart_during_start(&mut world, 5);
+    for attempt in 2..=MAX_ATTEMPTS + 1 {
         let starts = world.sent["start"];
         world.until("the job has failed, or is tried again", ms(6000), |world| {
             world.sent["start"] > starts || world.state(JOB) == Some(JobState::Failed)
         });
-        let former = world.placed(JOB).filter(|_| attempt <= ATTEMPTS);
+        let former = world.placed(JOB).filter(|_| attempt <= MAX_ATTEMPTS);
         former.and_then(|former| world.reboot(&former));
-        world.pass(TURN * 2);
+        world.pass(TICK * 2);
     }
     world.pass(ms(1500));
     let (starts, failures) = (
@@ -315,7 +315,7 @@
         world.failures.get(&TASK).copied().unwrap_or_default(),
     );
     assert!(
-        starts <= ATTEMPTS || failures < ATTEMPTS,
+        starts <= MAX_ATTEMPTS || failures < MAX_ATTEMPTS,
         "{starts} starts, and {failures} ends of failed ones were taken note of"
     );
 }
@@ -324,7 +324,7 @@
 /// placed again; it was suspected of that end for ever, and the step after it never began.
 #[test]
 fn a_step_after_a_suspect_done_by_the_next_incarnation_starts() {
-    let mut world = single();
+    let mut world = one_host();
     let mut steps = vec![step(1, 1, 20), step(1, 1, 20)];
     steps[1].after = vec![0];
     world.submit(JOB, JobSpec::new("x", steps));
@@ -342,25 +342,25 @@
 /// started.
 #[test]
 fn an_acknowledgement_overtaken_by_a_start_makes_the_next_incarnation_forget_nothing() {
-    none_is_redone(0..TURNS, |turns| {
-        let mut world = small();
+    assert_no_rerun(0..MAX_TICKS, |ticks| {
+        let mut world = three_hosts();
         world.submit(9, JobSpec::new("x", vec![step(9, 2, 200)]));
         world.until("others are through", ms(3000), |world| {
             world.state(9) == Some(JobState::Completed)
         });
         world.lags.insert("renew", ms(100));
-        world.pass(TURN * turns);
-        overtake(&mut world, 10);
+        world.pass(TICK * ticks);
+        restart_during_start(&mut world, 10);
         world
     });
 }
 
 /// Short tasks at agents that start again in series, beside lost and late answers, jobs that are cancelled and
 /// leaders that follow each other; what was started again though a run of it had ended well.
-fn hunt(seed: u64, keeps: f64) -> Vec<String> {
+fn simulate_random(seed: u64, id_reuse: f64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x4e77);
     let mut world = World::new(0, seed);
-    world.keeps = keeps;
+    world.keeps = id_reuse;
     world.counts = true;
     for host in 1..=4 {
         world.host(&format!("h{host}"), POOL);
@@ -408,35 +408,35 @@
 
 /// The seeds on which something was started again though a run of it had ended well, or a check of an agent
 /// failed.
-fn hunt_all(keeps: f64) -> Vec<String> {
-    let mut broken = Vec::new();
+fn failing_seeds(id_reuse: f64) -> Vec<String> {
+    let mut failing = Vec::new();
     for seed in seeds() {
-        match panic::catch_unwind(|| hunt(seed, keeps)) {
-            Ok(redone) if redone.is_empty() => {}
-            Ok(redone) => broken.push(format!("{seed}: {} were redone", redone.len())),
-            Err(_) => broken.push(format!("{seed}: a check of an agent")),
+        match panic::catch_unwind(|| simulate_random(seed, id_reuse)) {
+            Ok(reruns) if reruns.is_empty() => {}
+            Ok(reruns) => failing.push(format!("{seed}: {} were redone", reruns.len())),
+            Err(_) => failing.push(format!("{seed}: a check of an agent")),
         }
     }
-    broken
+    failing
 }
 
 /// All of it by chance, on many seeds.
 #[test]
 fn no_done_task_is_started_again_where_agents_restart_repeatedly() {
-    let broken = hunt_all(1.0);
-    assert!(broken.is_empty(), "{} seeds: {broken:#?}", broken.len());
+    let failing = failing_seeds(1.0);
+    assert!(failing.is_empty(), "{} seeds: {failing:#?}", failing.len());
 }
 
 /// The same where each life has an id of its own.
 #[test]
 fn no_done_task_is_started_again_where_agents_are_replaced_repeatedly() {
-    let broken = hunt_all(0.0);
-    assert!(broken.is_empty(), "{} seeds: {broken:#?}", broken.len());
+    let failing = failing_seeds(0.0);
+    assert!(failing.is_empty(), "{} seeds: {failing:#?}", failing.len());
 }
 
 /// The seeds that the environment names, or those of every run.
 fn seeds() -> RangeInclusive<u64> {
-    let Ok(range) = std::env::var(VARIABLE) else {
+    let Ok(range) = std::env::var(SEEDS_VARIABLE) else {
         return 0..=SEEDS;
     };
     let (first, last) = range.split_once('-').expect("FIRST-LAST");
--- a/tests/workload/scarce_hosts.rs
+++ b/tests/workload/scarce_hosts.rs
@@ -17,110 +17,120 @@
 use crate::world::{QUEUE, World, lasting, ms, step};
 
 /// Hosts that may end under a task: a third one, and those of two more starts.
-const MOST_ENDS: u32 = 5;
+const MAX_KILLS: u32 = 5;
 /// The first of the jobs that last.
-const LASTING: u64 = 1000;
+const FIRST_LONG_RUNNING_JOB: u64 = 1000;
 /// How long these have been at work before; the longer, the longer they are suspected.
-const BEFORE: Duration = ms(40_000);
+const WARM_UP_TIME: Duration = ms(40_000);
 /// Worlds that are played of each shape.
 const SEEDS: u64 = 3;
 
 /// A pool, and the deadly jobs that it gets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Shape {
+struct Scenario {
     hosts: usize,
     jobs: u64,
     /// The part of the jobs that are deadly.
     share: f64,
     /// How many tasks of a deadly job are.
-    tasks: u32,
+    poison_tasks: u32,
     /// How long deadly tasks run before they end their hosts.
     delay: Duration,
     /// How long a host that ended is away.
-    away: Duration,
+    down_time: Duration,
     /// From one job to the next.
-    pause: Duration,
+    interval: Duration,
     /// What each short task takes, in thousandths of a core.
     millicores: u64,
     /// Jobs from one takeover to the next.
-    takeovers: Option<u64>,
+    takeover_interval: Option<u64>,
 }
 
-impl Default for Shape {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             hosts: 6,
             jobs: 150,
             share: 0.06,
-            tasks: 1,
+            poison_tasks: 1,
             delay: ms(10),
-            away: ms(3000),
-            pause: ms(20),
+            down_time: ms(3000),
+            interval: ms(20),
             millicores: 400,
-            takeovers: None,
+            takeover_interval: None,
         }
     }
 }
 
 /// What broke a promise in a world of such a shape.
-fn play(seed: u64, shape: Shape) -> Vec<String> {
-    let mut world = World::new(shape.hosts, seed);
+fn simulate(seed: u64, scenario: Scenario) -> Vec<String> {
+    let mut world = World::new(scenario.hosts, seed);
     world.resets = true;
-    world.away = shape.away;
-    world.delays = (shape.delay, shape.delay);
+    world.away = scenario.down_time;
+    world.delays = (scenario.delay, scenario.delay);
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x5ca);
-    let hosts = u32::try_from(shape.hosts).unwrap();
+    let hosts = u32::try_from(scenario.hosts).unwrap();
     for job in 0..2 {
-        world.submit(LASTING + job, JobSpec::new("x", vec![lasting(hosts, 1)]));
+        world.submit(
+            FIRST_LONG_RUNNING_JOB + job,
+            JobSpec::new("x", vec![lasting(hosts, 1)]),
+        );
     }
-    world.pass(BEFORE);
-    for job in 1..=shape.jobs {
+    world.pass(WARM_UP_TIME);
+    for job in 1..=scenario.jobs {
         let tasks = rng.random_range(3..9);
         let mut step = step(tasks, 1, 500);
-        step.need.millicores = shape.millicores;
+        step.need.millicores = scenario.millicores;
         world.submit_to(QUEUE, job, JobSpec::new("x", vec![step]));
-        if rng.random_bool(shape.share) {
-            world.deadly.insert(job, shape.tasks);
+        if rng.random_bool(scenario.share) {
+            world.deadly.insert(job, scenario.poison_tasks);
         }
-        if shape.takeovers.is_some_and(|jobs| job.is_multiple_of(jobs)) {
+        if scenario
+            .takeover_interval
+            .is_some_and(|jobs| job.is_multiple_of(jobs))
+        {
             world.depose();
             world.pass(ms(300));
             world.lead();
         }
-        world.pass(shape.pause);
+        world.pass(scenario.interval);
     }
     // What each deadly job may cost one host after the other, and some more.
-    let deadly = u32::try_from(world.deadly.len()).unwrap();
-    let turns = (deadly * MOST_ENDS).div_ceil(hosts) + 2;
-    let limit = world.now + (shape.away + shape.delay + ms(1500)) * turns + ms(20_000);
-    let waits = |world: &World| {
-        let jobs = world.ledger.jobs().filter(|(id, _)| *id < LASTING);
+    let poison_jobs = u32::try_from(world.deadly.len()).unwrap();
+    let crash_waves = (poison_jobs * MAX_KILLS).div_ceil(hosts) + 2;
+    let limit =
+        world.now + (scenario.down_time + scenario.delay + ms(1500)) * crash_waves + ms(20_000);
+    let unfinished_jobs = |world: &World| {
+        let jobs = world
+            .ledger
+            .jobs()
+            .filter(|(id, _)| *id < FIRST_LONG_RUNNING_JOB);
         jobs.filter(|(_, job)| !job.has_ended()).count()
     };
-    while waits(&world) > 0 && world.now < limit {
+    while unfinished_jobs(&world) > 0 && world.now < limit {
         world.pass(ms(100));
     }
-    faults(&world, waits(&world))
+    violations(&world, unfinished_jobs(&world))
 }
 
-fn faults(world: &World, waiting: usize) -> Vec<String> {
-    let mut faults = Vec::new();
-    let over: BTreeMap<_, _> = world
+fn violations(world: &World, unfinished: usize) -> Vec<String> {
+    let mut violations = Vec::new();
+    let over_limit: BTreeMap<_, _> = world
         .killed
         .iter()
-        .filter(|(_, n)| **n > MOST_ENDS)
+        .filter(|(_, n)| **n > MAX_KILLS)
         .collect();
-    if !over.is_empty() {
-        let of = world.killed.len();
-        faults.push(format!(
-            "{} of {of} tasks ended over {MOST_ENDS} hosts: {over:?}",
-            over.len()
+    if !over_limit.is_empty() {
+        let killers = world.killed.len();
+        violations.push(format!(
+            "{} of {killers} tasks ended over {MAX_KILLS} hosts: {over_limit:?}",
+            over_limit.len()
         ));
     }
-    if waiting > 0 {
+    if unfinished > 0 {
         let suspected = world.scheduler.as_ref().map_or(0, Scheduler::suspected);
-        faults.push(format!(
-            "{waiting} jobs wait in the end, {suspected} tasks suspected"
+        violations.push(format!(
+            "{unfinished} jobs wait in the end, {suspected} tasks suspected"
         ));
     }
     let failed = world
@@ -129,33 +139,36 @@
         .filter(|(id, job)| job.state == JobState::Failed && !world.deadly.contains_key(id));
     for (id, job) in failed {
         let ends = world.ends.iter().filter(|(task, _)| task.step.job == id);
-        let most = ends.map(|(_, ends)| *ends).max().unwrap_or_default();
+        let crashes = ends.map(|(_, ends)| *ends).max().unwrap_or_default();
         // Callers know that a task under which two hosts have ended may be given up.
-        if most < 2 {
-            faults.push(format!(
-                "job {id} failed, {most} hosts ended under a task: {:?}",
+        if crashes < 2 {
+            violations.push(format!(
+                "job {id} failed, {crashes} hosts ended under a task: {:?}",
                 job.evidence
             ));
         }
     }
-    faults
+    violations
 }
 
-fn assert_held(shapes: &[Shape]) {
-    let mut faults = Vec::new();
-    for shape in shapes {
+fn assert_no_violations(scenarios: &[Scenario]) {
+    let mut violations = Vec::new();
+    for scenario in scenarios {
         for seed in 0..SEEDS {
-            let found = play(seed, *shape);
-            if !found.is_empty() {
-                faults.push(format!("{shape:?}, seed {seed}: {}", found.join("; ")));
+            let failures = simulate(seed, *scenario);
+            if !failures.is_empty() {
+                violations.push(format!(
+                    "{scenario:?}, seed {seed}: {}",
+                    failures.join("; ")
+                ));
             }
         }
     }
     assert!(
-        faults.is_empty(),
+        violations.is_empty(),
         "{} worlds:\n{}",
-        faults.len(),
-        faults.join("\n")
+        violations.len(),
+        violations.join("\n")
     );
 }
 
@@ -163,41 +176,41 @@
 /// that were suspected by the doing of others.
 #[test]
 fn no_poison_task_starts_three_times_more_where_hosts_are_scarce() {
-    let mut shapes: Vec<_> = [3, 5, 6, 8]
-        .map(|hosts| Shape {
+    let mut scenarios: Vec<_> = [3, 5, 6, 8]
+        .map(|hosts| Scenario {
             hosts,
-            ..Shape::default()
+            ..Scenario::default()
         })
         .into();
-    let base = Shape {
+    let base = Scenario {
         jobs: 60,
-        ..Shape::default()
+        ..Scenario::default()
     };
     for share in [0.3, 0.8] {
-        shapes.push(Shape { share, ..base });
-        shapes.push(Shape {
+        scenarios.push(Scenario { share, ..base });
+        scenarios.push(Scenario {
             share,
-            tasks: u32::MAX,
+            poison_tasks: u32::MAX,
             ..base
         });
     }
     for delay in [100, 600, 3000].map(ms) {
-        shapes.push(Shape { delay, ..base });
+        scenarios.push(Scenario { delay, ..base });
     }
     for hosts in [2, 12, 24] {
-        shapes.push(Shape {
+        scenarios.push(Scenario {
             hosts,
             share: 0.3,
             ..base
         });
     }
-    shapes.push(Shape {
-        away: ms(8000),
+    scenarios.push(Scenario {
+        down_time: ms(8000),
         ..base
     });
-    shapes.push(Shape {
-        takeovers: Some(8),
+    scenarios.push(Scenario {
+        takeover_interval: Some(8),
         ..base
     });
-    assert_held(&shapes);
+    assert_no_violations(&scenarios);
 }
