--- a/tests/workload/cancelled.rs
+++ b/tests/workload/cancelled.rs
@@ -1,5 +1,5 @@
-//! Nothing of a cancelled job runs for long, however late its orders were carried out. The world
-//! checks it at every step.
+//! The tasks of a cancelled job stop soon, however late its orders were carried out. The world checks this at
+//! every time step.
 
 use egretpin::core::{
     types::MinionId,
@@ -10,24 +10,25 @@
 
 use crate::world::{Faults, POOL, World, lasting, ms, step};
 
-/// Seeds that are played.
+/// The number of seeds that are simulated.
 const SEEDS: u64 = 200;
-/// Times of trouble in each.
+/// The number of phases with disturbances in each simulation.
 const PHASES: u64 = 2;
-/// Further seeds that failed once.
+/// More seeds, which failed once.
 const REGRESSIONS: [u64; 0] = [];
 
-/// Which disturbances a world has.
+/// The disturbances of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Disturbances {
     faults: Faults,
-    /// Leaders end, and others begin, now and then after a while without one.
+    /// Whether leaders are lost and replaced, sometimes after a while without a leader.
     takeovers: bool,
-    /// Agents are cut off and run on.
+    /// Whether agents are disconnected while they keep running.
     disconnections: bool,
-    /// Agents are taken for gone, and known again with their next heartbeat.
+    /// Whether running agents are declared terminated, and become known again with their next heartbeat.
     false_terminations: bool,
-    /// No list shows a host, so that none is moved: a move ends what runs on where nobody looks.
+    /// Whether the provider's lists show no hosts, so that no host is moved. A move would end what still runs
+    /// at agents that the leader doesn't poll.
     hide_hosts: bool,
 }
 
@@ -45,8 +46,8 @@
     agents[rng.random_range(0..agents.len())].clone()
 }
 
-/// Jobs come, and most are cancelled soon: for some seconds beside trouble, then for some without,
-/// in which late orders are still carried out.
+/// Submits jobs and cancels most of them soon: for some seconds with disturbances, then for some seconds
+/// without, in which late orders are still carried out.
 fn simulate(seed: u64, protections: Protections, disturbances: Disturbances) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x00ca_9ce1);
     let mut world = World::with_lease(8, seed, ms(10_000));
@@ -109,7 +110,7 @@
     }
 }
 
-/// The seeds that fail, as they are found.
+/// The seeds that fail, simulated one by one as the iterator advances.
 fn failing_seeds(
     protections: Protections,
     disturbances: Disturbances,
@@ -120,7 +121,7 @@
     })
 }
 
-/// Plays all seeds, and names all those that fail.
+/// Simulates all seeds, and reports all those that fail.
 fn assert_no_seed_fails(disturbances: Disturbances) {
     let failed: Vec<_> = failing_seeds(Protections::default(), disturbances).collect();
     assert!(failed.is_empty(), "{} seeds fail: {failed:?}", failed.len());
@@ -227,7 +228,8 @@
 
 #[test]
 fn without_polls_of_idle_agents_a_cancelled_task_runs_on() {
-    // Most of what would run on is refused by its agent already, as it comes after its deadline.
+    // With start deadlines, agents refuse most starts of tasks that would run on, since these starts come
+    // too late.
     let protections = Protections {
         polls: false,
         deadlines: false,
@@ -246,14 +248,14 @@
 fn a_task_on_an_agent_wrongly_declared_terminated_stops_when_its_job_is_cancelled() {
     let mut world = World::with_lease(3, 1, ms(10_000));
     world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
-    world.until("it runs", ms(2000), |world| world.runs(1).len() == 1);
+    world.until("the task runs", ms(2000), |world| world.runs(1).len() == 1);
     let (agent, _) = world.runs(1).remove(0);
     world.propose(Command::Terminated(agent));
     world.propose(Command::Cancel(1));
-    world.until("it is cancelled", ms(100), |world| {
+    world.until("the job is cancelled", ms(100), |world| {
         world.state(1) == Some(JobState::Cancelled)
     });
-    world.until("nothing of it runs", ms(3900), |world| {
+    world.until("no task of the job runs", ms(3900), |world| {
         world.runs(1).is_empty()
     });
 }
--- a/tests/workload/completed_suspects.rs
+++ b/tests/workload/completed_suspects.rs
@@ -1,7 +1,8 @@
-//! Suspects that turn out to have been done by an attempt that was given up.
+//! Suspects that turn out to have been completed by an abandoned attempt.
 //!
-//! Each world has an agent that is cut off with a task, which is done there. Its lease runs out, two hosts
-//! end under the next attempts, and none is left for another. Then the first agent is heard again.
+//! In each simulation the agent that runs a task is disconnected, and completes the task meanwhile. Its lease
+//! runs out, two hosts crash under the next attempts, and no host is left for another attempt. Then the first
+//! agent is connected again.
 
 use std::time::Duration;
 
@@ -17,24 +18,25 @@
 
 use crate::world::{OTHER, World, ms, step};
 
-/// A task takes a whole host.
+/// The cores that a task takes: those of a whole host.
 const TASK_CORES: u64 = 8;
-/// How long a task takes.
+/// How long a task takes, in milliseconds.
 const TASK_MILLIS: u64 = 1500;
-/// How long a task is at work before its host ends.
+/// How long a task runs before its host crashes.
 const CRASH_DELAY: Duration = ms(300);
-/// How long hosts that end and agents that are cut off are away.
+/// How long crashed hosts are down and agents are disconnected.
 const DOWN_TIME: Duration = ms(60_000);
-/// Within which an attempt begins.
+/// The time within which an attempt starts.
 const START_LIMIT: Duration = ms(2000);
-/// Within which one follows whose agent is cut off: the longest lease, and what is added to it.
+/// The time within which the next attempt starts if an agent is disconnected: the longest lease, and what is
+/// added to it.
 const RESTART_LIMIT: Duration = ms(9000);
-/// Within which the ends of hosts are known.
+/// The time within which the leader notices that hosts have crashed.
 const DETECTION_LIMIT: Duration = ms(2000);
-/// Within which jobs go on whose suspect is done.
+/// The time within which jobs complete once their suspect is known to be done.
 const COMPLETION_LIMIT: Duration = ms(8000);
 
-/// A step of so many tasks after some others.
+/// A step with this number of tasks, which starts after other steps.
 fn step_after(tasks: u32, steps: &[u16]) -> StepSpec {
     StepSpec {
         after: steps.to_vec(),
@@ -49,7 +51,8 @@
     runs.map(|(agent, _)| agent).collect()
 }
 
-/// Lets time pass until so many tasks of a step are at work, at agents that get through.
+/// Waits until this number of tasks of a step run, and returns their agents. Runs at disconnected agents have
+/// ended by then.
 fn wait_until_running(
     world: &mut World,
     job: u64,
@@ -64,7 +67,7 @@
     running_agents(world, job, step)
 }
 
-/// Has the agents of a step's tasks cut off; they do their work.
+/// Disconnects the agents of a step's tasks, and waits until they have done the tasks.
 fn disconnect_agents(world: &mut World, job: u64, step: u16, tasks: usize) -> Vec<MinionId> {
     let disconnected = wait_until_running(world, job, step, tasks, START_LIMIT);
     for agent in &disconnected {
@@ -74,7 +77,7 @@
     disconnected
 }
 
-/// Has the hosts end on which the next attempts of some steps' tasks run.
+/// Crashes the hosts on which the next attempts of some steps' tasks run.
 fn crash_hosts(world: &mut World, steps: &[(u64, u16)], tasks: usize) {
     let mut agents = Vec::new();
     for (job, step) in steps {
@@ -86,7 +89,7 @@
     }
 }
 
-/// Two hosts end under each task of a step of the first job.
+/// Crashes two hosts under each task of a step of the first job, one after the other.
 fn crash_hosts_twice(world: &mut World, step: u16, tasks: usize) {
     crash_hosts(world, &[(1, step)], tasks);
     crash_hosts(world, &[(1, step)], tasks);
@@ -94,21 +97,21 @@
     assert!(running_agents(world, 1, step).is_empty(), "no host is left");
 }
 
-/// The ends of hosts are known, and so many tasks are suspected.
+/// Waits until the crashes are known, and asserts how many tasks are suspected.
 fn assert_suspected(world: &mut World, suspects: usize) {
     world.pass(DETECTION_LIMIT);
     let scheduler = world.scheduler.as_ref().expect("a leader");
     assert_eq!(scheduler.suspected(), suspects);
 }
 
-/// The agents that were cut off are heard again.
+/// Connects disconnected agents again.
 fn reconnect_agents(world: &mut World, disconnected: &[MinionId]) {
     for agent in disconnected {
         world.cut(agent, Duration::ZERO);
     }
 }
 
-/// The jobs go on to their ends.
+/// Waits until all the jobs are completed.
 fn wait_until_completed(world: &mut World, jobs: &[u64], limit: Duration) {
     world.until("the jobs are completed", limit, |world| {
         let mut jobs = jobs.iter();
@@ -119,7 +122,7 @@
 fn new_world(hosts: usize) -> World {
     let mut world = World::new(hosts, 1);
     world.away = DOWN_TIME;
-    // Or one of the others would be moved there.
+    // Without a host in the other pool, one of this pool's would be moved there.
     world.host("h100", OTHER);
     world
 }
@@ -136,7 +139,7 @@
     wait_until_completed(&mut world, &[1], COMPLETION_LIMIT);
 }
 
-/// The last task of a job ends it, and the job isn't waited for.
+/// A suspect that was the last task of its job ends the job, and nothing waits for the job any longer.
 #[test]
 fn a_job_ends_with_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = new_world(3);
@@ -148,7 +151,7 @@
     wait_until_completed(&mut world, &[1], COMPLETION_LIMIT);
 }
 
-/// The last task of an occurrence kept the next one from being started.
+/// A suspect that was the last task of an occurrence kept the next occurrence from being started.
 #[test]
 fn an_occurrence_follows_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = new_world(3);
@@ -165,7 +168,7 @@
     wait_until_completed(&mut world, &[1], RESTART_LIMIT + COMPLETION_LIMIT);
 }
 
-/// A gang whose members are suspected kept the steps after it from being started.
+/// A gang with suspected members kept the steps after it from being started.
 #[test]
 fn a_step_follows_a_suspected_gang_completed_by_an_earlier_attempt() {
     let mut world = new_world(6);
@@ -178,7 +181,7 @@
     wait_until_completed(&mut world, &[1], COMPLETION_LIMIT);
 }
 
-/// A suspect that no step follows kept other steps of its job from being started.
+/// A suspect in a step without successors kept other steps of its job from being started.
 #[test]
 fn other_steps_go_on_beside_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = new_world(4);
@@ -194,7 +197,7 @@
     wait_until_completed(&mut world, &[1], RESTART_LIMIT * 2);
 }
 
-/// A suspect that was done kept its job and other suspect jobs waiting.
+/// A completed suspect kept its own job and other suspect jobs waiting.
 #[test]
 fn suspect_jobs_go_on_beside_a_suspect_completed_by_an_earlier_attempt() {
     let mut world = new_world(4);
@@ -210,7 +213,7 @@
     wait_until_completed(&mut world, &[1, 2], COMPLETION_LIMIT);
 }
 
-/// A start that was decided before its occurrence ended was decided again and again.
+/// A start that was proposed before its occurrence ended was proposed again and again.
 #[test]
 fn a_start_committed_after_the_end_of_its_occurrence_is_forgotten() {
     let mut world = new_world(1);
@@ -223,7 +226,7 @@
     world.submit(1, spec);
     let agent = wait_until_running(&mut world, 1, 0, 1, START_LIMIT).remove(0);
     let (_, task) = world.runs(1).remove(0);
-    world.until("the first occurrence is through", START_LIMIT, |world| {
+    world.until("the first occurrence is completed", START_LIMIT, |world| {
         let job = world.ledger.job(1);
         job.is_some_and(|job| job.finished == 1 && job.task(task).is_none())
     });
--- a/tests/workload/incarnations.rs
+++ b/tests/workload/incarnations.rs
@@ -1,4 +1,4 @@
-//! Which incarnation lives at an address, when heartbeats come late.
+//! Which incarnation is taken for the current one at an address if heartbeats arrive late.
 
 use std::time::Duration;
 
@@ -9,10 +9,11 @@
 
 use crate::world::{World, ms, step};
 
-/// An agent has ended, and its successor runs a task, which another agent could run too.
+/// A world in which an agent has ended and its successor runs a task. The agent of a second host could run
+/// the task, too.
 struct ReplacedAgent {
     world: World,
-    /// What the ended incarnation said of itself.
+    /// The record in the heartbeats of the ended incarnation.
     former: AgentRecord,
     successor: MinionId,
 }
@@ -24,7 +25,7 @@
         let former = world.agents.values().next().unwrap().record.clone();
         let successor = world.reboot(&former.id).unwrap();
         world.submit(1, JobSpec::new("x", vec![step(1, 1, 25_000)]));
-        world.until("it runs", ms(1000), |world| world.runs(1).len() == 1);
+        world.until("the task runs", ms(1000), |world| world.runs(1).len() == 1);
         assert_eq!(world.runs(1)[0].0, successor);
         world.host("h9", crate::world::POOL);
         Self {
@@ -34,7 +35,8 @@
         }
     }
 
-    /// The task runs where it is, and once, through a heartbeat of an ended incarnation.
+    /// Delivers a late heartbeat of an ended incarnation, and asserts that the task keeps running where it is
+    /// and is started only once.
     fn assert_heartbeat_ignored(self, id: &MinionId, delay: Duration) {
         let Self {
             mut world,
@@ -50,14 +52,14 @@
         );
         assert!(
             world.ledger.agent(id).is_none(),
-            "the ended one doesn't come back"
+            "the ended incarnation stays removed"
         );
-        world.until("it is through", ms(40_000), |world| {
+        world.until("the job is completed", ms(40_000), |world| {
             world.state(1) == Some(JobState::Completed)
         });
         assert_eq!(world.starts.values().copied().collect::<Vec<_>>(), [1]);
         let new_starts = world.sent["start"] - starts_before;
-        assert_eq!(new_starts, 0, "nothing is given to the ended one");
+        assert_eq!(new_starts, 0, "the ended incarnation gets no task");
     }
 }
 
@@ -96,16 +98,19 @@
     let starts_before = world.sent["start"];
     world.cut(&case.successor, ms(3000));
     world.late_beat(&"unheard".into(), &case.former, ms(50));
-    // A job more than the other host has room for; the claimant would have it.
+    // The two tasks don't fit on the other host at once; the claimant would get one of them.
     world.submit(2, JobSpec::new("x", vec![step(2, 8, 500)]));
     world.pass(ms(2500));
     assert!(world.ledger.agent(&case.successor).is_some());
     let new_starts = world.sent["start"] - starts_before;
-    assert_eq!(new_starts, 2, "to the other host, one by one");
+    assert_eq!(
+        new_starts, 2,
+        "both tasks start at the other host, one by one"
+    );
     world.until("the address has answered", ms(2000), |world| {
         world.ledger.agent(&"unheard".into()).is_none()
     });
-    world.until("it is through", ms(40_000), |world| {
+    world.until("the job is completed", ms(40_000), |world| {
         world.state(1) == Some(JobState::Completed)
     });
     assert!(world.starts.values().all(|starts| *starts == 1));
@@ -115,10 +120,12 @@
 fn tasks_of_a_crashed_agent_start_again_as_soon_as_its_successor_is_known() {
     let mut world = World::new(1, 1);
     world.submit(1, JobSpec::new("x", vec![step(1, 1, 5000)]));
-    world.until("it runs", ms(1000), |world| world.runs(1).len() == 1);
+    world.until("the task runs", ms(1000), |world| world.runs(1).len() == 1);
     let (agent, _) = world.runs(1)[0].clone();
     let next = world.reboot(&agent).unwrap();
-    // Three commits, a look and a start, in steps of 5 ms.
-    world.until("it runs again", ms(60), |world| world.runs(1).len() == 1);
+    // Three commits, a poll and a start, in time steps of 5 ms.
+    world.until("the task runs again", ms(60), |world| {
+        world.runs(1).len() == 1
+    });
     assert_eq!(world.runs(1)[0].0, next);
 }
--- a/tests/workload/poison_false_positives.rs
+++ b/tests/workload/poison_false_positives.rs
@@ -1,12 +1,13 @@
-//! Hosts that end though no task ends them.
+//! Hosts that crash although there is no poison task: no job may fail as a poison job.
 //!
-//! What was seen: lasting jobs were stopped and failed, since a task of theirs was said to end its hosts.
-//! There was no such task: tenths of the fleet crashed together or were replaced while leaders changed.
-//! How it came about: the ends that would have shown how often hosts end didn't count, as each of them
-//! might still have been the doing of a short task there, and an agent that had ended before its leader
-//! began counted as one that had ended just after. Proof: the worlds here, in which no task ends a host.
+//! The tests guard against a fault that stopped and failed long-running jobs: one of their tasks was taken
+//! for a poison task, and none was. Tenths of the fleet crashed together or were replaced while leaders
+//! changed. There were two causes. A crash didn't count towards the rate at which hosts crash by themselves
+//! as long as a batch task on the host could have caused it. And an agent that was lost before the term of
+//! its leader began was treated as if it had been lost just after. In the simulations here no task crashes a
+//! host.
 //!
-//! `EGRETPIN_WORLD_SEEDS=FROM-TO` plays other seeds than those of every run.
+//! `EGRETPIN_WORLD_SEEDS=FROM-TO` replaces the default seeds.
 
 use std::{ops::RangeInclusive, time::Duration};
 
@@ -16,31 +17,31 @@
 
 use crate::world::{OTHER, QUEUE, SECOND, World, lasting, ms, step};
 
-/// The seeds that every run plays.
+/// The default seeds.
 const SEEDS: RangeInclusive<u64> = 0..=5;
 const SEEDS_VARIABLE: &str = "EGRETPIN_WORLD_SEEDS";
-/// The first of the jobs that last.
+/// The ID of the first long-running job.
 const FIRST_LONG_RUNNING_JOB: u64 = 1_000_000;
-/// How long a world is played with load, and after it.
+/// How long a simulation lasts with batch jobs being submitted, and after the last one.
 const LOAD_TIME: Duration = ms(20_000);
 const SETTLE_TIME: Duration = ms(8000);
-/// The part of their pools' room that short tasks take on average.
+/// The fraction of the cores of each pool that batch tasks use on average.
 const UTILIZATION: f64 = 0.5;
-/// How long most short tasks take, and the others.
+/// How long most batch tasks take, and how long the others take, in milliseconds.
 const TASK_MILLIS: (u64, u64) = (640, 2100);
-/// Cores of a short task.
+/// The cores that a batch task takes.
 const TASK_CORES: u64 = 2;
 
-/// How hosts end by themselves.
+/// How hosts crash by themselves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CrashPattern {
-    /// A part of them at the same moment, in both pools.
+    /// A fraction of the hosts crash at once, in both pools.
     Simultaneous,
-    /// A part of one pool's at the same moment.
+    /// A fraction of the hosts of one pool crash at once.
     OnePool,
-    /// One after the other.
+    /// A fraction of the hosts crash one after the other.
     Staggered,
-    /// A part of them for good; others come in their place.
+    /// A fraction of the hosts are lost for good at once, and new hosts replace them.
     Replaced,
 }
 
@@ -49,15 +50,15 @@
     /// Hosts of each of the two pools.
     hosts: usize,
     pattern: CrashPattern,
-    /// The part of the hosts that end each time.
+    /// The fraction of the hosts that crash each time.
     share: f64,
-    /// From one such time to the next.
+    /// The time from one series of crashes to the next.
     interval: Duration,
-    /// Whether leaders are lost near some of these times.
+    /// Whether the leader changes soon after some of the crashes.
     takeovers: bool,
-    /// Whether connections to an agent that dies are reset, and not silent.
+    /// Whether connections to an agent that dies are reset; they are silent otherwise.
     reset_connections: bool,
-    /// Whether agents start again under the ids that they had.
+    /// Whether agents restart under the same ID.
     reuse_ids: bool,
 }
 
@@ -75,16 +76,16 @@
     }
 }
 
-/// A world, and where it stands.
+/// A world with its load and its host crashes.
 struct Simulation {
     world: World,
     rng: Pcg64Mcg,
     scenario: Scenario,
-    /// Hosts that were added so far.
+    /// The number of hosts added so far.
     hosts: usize,
-    /// Jobs that were submitted so far.
+    /// The number of batch jobs submitted so far.
     jobs: u64,
-    /// Hosts that end next, and when.
+    /// The hosts that are still to crash, with the time of each crash.
     crashes: Vec<(Duration, String)>,
 }
 
@@ -118,7 +119,7 @@
         self.hosts += 1;
     }
 
-    /// Jobs in the step of time that comes, as many as the load asks.
+    /// Submits the batch jobs of the next time step, as many as the utilization requires on average.
     fn submit(&mut self, span: Duration) {
         let busy_cores = (self.scenario.hosts * 8) as f64 * UTILIZATION;
         for queue in [QUEUE, SECOND] {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Chooses the hosts that end now, or from now on.
+    /// Starts a series of crashes: chooses the hosts, and when each of them crashes.
     fn schedule_crashes(&mut self) {
         let pool = (self.scenario.pattern == CrashPattern::OnePool).then_some(OTHER);
         let views = self.world.hosts.iter();
@@ -161,7 +162,7 @@
             .extend(crashes.map(|(ix, host)| (now + spacing * ix, host)));
     }
 
-    /// Ends the hosts whose time has come.
+    /// Crashes the hosts whose time has come.
     fn crash_due_hosts(&mut self) {
         let now = self.world.now;
         let (due, later) = self.crashes.drain(..).partition(|(at, _)| *at <= now);
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Has the leader be lost, and another one lead some time later.
+    /// Removes the leader, and has another one take over some time later.
     fn replace_leader(&mut self) {
         self.world.depose();
         let gap = self.rng.random_range(300..1000);
@@ -191,7 +192,7 @@
         self.world.lead();
     }
 
-    /// What was convicted.
+    /// Runs the simulation and describes each job that failed.
     fn run(mut self) -> Vec<String> {
         const TICK: Duration = ms(20);
         self.world.pass(ms(3000));
@@ -227,7 +228,7 @@
         reports.collect()
     }
 
-    /// What the ends of agents proved against the tasks of a job.
+    /// The committed evidence of crashes against the tasks of a job.
     fn crash_evidence(&self, job: JobId) -> Vec<String> {
         let commands = self.world.committed.iter();
         let crashes = commands.filter_map(|command| match command {
@@ -243,14 +244,14 @@
     }
 }
 
-/// The seeds that are to be played.
+/// The seeds that the environment names, or else the default ones.
 fn seeds() -> RangeInclusive<u64> {
     let Ok(given) = std::env::var(SEEDS_VARIABLE) else {
         return SEEDS;
     };
     let bounds = given.split_once('-');
     let bounds = bounds.and_then(|(from, to)| Some(from.parse().ok()?..=to.parse().ok()?));
-    bounds.unwrap_or_else(|| panic!("{SEEDS_VARIABLE} is {given}; write it as FROM-TO"))
+    bounds.unwrap_or_else(|| panic!("{SEEDS_VARIABLE} is {given}, but must have the form FROM-TO"))
 }
 
 fn assert_no_job_fails(scenarios: &[Scenario]) {
@@ -266,12 +267,12 @@
     let count = failures.len();
     assert!(
         failures.is_empty(),
-        "{count} worlds:\n{}",
+        "jobs failed in {count} simulations:\n{}",
         failures.join("\n")
     );
 }
 
-/// Innocent jobs were convicted where tenths of the fleet crashed together.
+/// Harmless jobs failed as poison where tenths of the fleet crashed together.
 #[test]
 fn no_job_fails_as_poison_where_hosts_crash_together() {
     let base = Scenario::default();
@@ -294,7 +295,7 @@
     ]);
 }
 
-/// The same where all that crash are of one pool.
+/// The same fault where all hosts that crash are of one pool.
 #[test]
 fn no_job_fails_as_poison_where_hosts_of_one_pool_crash_together() {
     let base = Scenario {
@@ -313,7 +314,7 @@
     ]);
 }
 
-/// The same where they are replaced for good, or crash one after the other.
+/// The same fault where hosts are replaced for good, or crash one after the other.
 #[test]
 fn no_job_fails_as_poison_where_hosts_are_replaced_or_crash_in_turn() {
     let base = Scenario {
@@ -334,15 +335,15 @@
     ]);
 }
 
-/// Jobs were convicted for hosts on which their tasks had never begun: an earlier leader had decided the
-/// attempts, and the agents had ended before.
+/// Jobs failed as poison because of hosts on which their tasks had never started: an earlier leader had
+/// committed the attempts, and the agents were lost before the start.
 #[test]
 fn an_attempt_that_never_started_is_no_evidence_to_a_later_leader() {
     let mut world = World::new(4, 1);
     world.resets = true;
     world.pass(ms(3000));
     world.submit(1, JobSpec::new("x", vec![step(1, 2, 5000)]));
-    world.until("it runs", ms(500), |world| world.runs(1).len() == 1);
+    world.until("the task runs", ms(500), |world| world.runs(1).len() == 1);
     world.pass(ms(200));
     let (first, _) = world.runs(1)[0].clone();
     world.restart(&first);
@@ -351,19 +352,21 @@
         let task = &job.runs.get(&0)?.steps[0].tasks[0];
         task.agent.clone().filter(|_| task.attempt == 2)
     };
-    world.until("a second attempt is decided", ms(3000), |world| {
+    world.until("a second attempt is committed", ms(3000), |world| {
         second(world).is_some()
     });
-    let agent = second(&world).expect("it is placed");
+    let agent = second(&world).expect("the second attempt is placed");
     world.restart(&agent);
     world.pass(ms(60));
     assert_eq!(world.starts.values().sum::<u32>(), 1);
     world.depose();
     world.pass(ms(600));
     world.lead();
-    world.until("its agent is over", ms(5000), |world| {
-        world.ledger.agent(&agent).is_none()
-    });
+    world.until(
+        "the agent of the second attempt is removed",
+        ms(5000),
+        |world| world.ledger.agent(&agent).is_none(),
+    );
     let crashes = world.committed.iter().filter_map(|command| match command {
         Command::Crashed(crash) if crash.agent == agent => Some(crash),
         _ => None,
--- a/tests/workload/poison_queues.rs
+++ b/tests/workload/poison_queues.rs
@@ -1,10 +1,10 @@
-//! A good part of a queue's jobs end the hosts that run them.
+//! Queues of which many jobs crash the hosts that run them.
 //!
-//! What was seen: jobs that were accepted waited for good while their pool's hosts were all but empty, and
-//! nine tenths of the innocent jobs of the queue weren't done in time. How it came about: new jobs were packed,
-//! so that three of four hosts ended under a crowd that proved nothing against any of them; each conviction cost
-//! four or five hosts; and all that came was accepted. Proof: the worlds here, in which more deadly jobs come
-//! than a pool can try.
+//! The tests guard against two faults. Accepted jobs waited forever while the hosts of their pool were all but
+//! empty, and nine tenths of the queue's harmless jobs weren't done in time. There were three causes. New jobs
+//! were packed together, so that three of four hosts crashed under many jobs, which proved nothing against any
+//! of them. It took four or five hosts to identify each poison job. And every submitted job was accepted. In
+//! the simulations here more poison jobs are submitted than a pool can try.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,32 +14,32 @@
 
 use crate::world::{OTHER, POOL, QUEUE, SECOND, World, lasting, ms, step};
 
-/// Hosts that may end under a task: a third one, and those of two more starts.
+/// The most hosts that a task may crash: three, and those of two more starts.
 const MAX_KILLS: u32 = 5;
-/// The first of the jobs that last, and of those of the quiet queue.
+/// The ID of the long-running job, and a base for the IDs of jobs in the queue of the other pool.
 const LONG_RUNNING_JOB: u64 = 1_000_000;
 const FIRST_OTHER_JOB: u64 = 500_000;
-/// How long jobs come, and by when all that was accepted is over.
+/// How long jobs are submitted, and within which time after that all accepted jobs have to end.
 const LOAD_TIME: Duration = ms(12_000);
 const SETTLE_TIME: Duration = ms(14_000);
-/// How long a quiet job may take: what its queue asks.
+/// How long a job in the queue of the other pool may take: the objective of that queue.
 const OBJECTIVE: Duration = ms(1500);
-/// Worlds that are played of each shape.
+/// The number of seeds of each scenario.
 const SEEDS: u64 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Scenario {
-    /// Hosts of the pool.
+    /// The number of hosts of the pool.
     hosts: usize,
-    /// The part of the jobs that are deadly.
+    /// The fraction of the jobs that are poison jobs.
     share: f64,
-    /// How many tasks of a deadly job are.
+    /// How many tasks of a poison job crash their hosts.
     poison_tasks: u32,
-    /// Jobs a second, for each host.
+    /// The number of submitted jobs per second and host.
     rate: f64,
-    /// How long deadly tasks run before they end their hosts.
+    /// How long poison tasks run before they crash their hosts.
     delay: Duration,
-    /// The leader ends in the midst, and another follows.
+    /// Whether the leader changes half-way through.
     takeover: bool,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// What came of a world.
+/// The results of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     violations: Vec<String>,
@@ -64,6 +64,7 @@
     rejected: usize,
     harmless: usize,
     completed: usize,
+    /// The completed jobs in the queue of the other pool, and those of them that were in time.
     other_queue: (usize, usize),
 }
 
@@ -131,7 +132,7 @@
     outcome
 }
 
-/// Whether the leader doesn't accept a job, if there is one.
+/// Whether there is a leader, and it rejects a job.
 fn is_rejected(world: &World, job: JobId, spec: &JobSpec) -> bool {
     let submission = Submission {
         job,
@@ -148,7 +149,8 @@
     })
 }
 
-/// Counts the quiet jobs that are over, and those of them that are in time.
+/// Counts the jobs in the queue of the other pool that have completed since the last call, and those of them
+/// that were in time.
 fn count_completed(
     world: &World,
     due: &mut BTreeMap<u64, Duration>,
@@ -178,10 +180,10 @@
     if waiting > 0 {
         outcome
             .violations
-            .push(format!("{waiting} jobs wait in the end"));
+            .push(format!("{waiting} jobs still wait at the end"));
     }
     if !wrongly_failed.is_empty() {
-        let of = "harmless jobs failed that one host ended under";
+        let of = "harmless jobs failed with at most one host crash under a task";
         outcome
             .violations
             .push(format!("{} {of}: {wrongly_failed:?}", wrongly_failed.len()));
@@ -190,11 +192,11 @@
     if over_limit > 0 {
         outcome
             .violations
-            .push(format!("{over_limit} tasks ended over {MAX_KILLS} hosts"));
+            .push(format!("{over_limit} tasks crashed over {MAX_KILLS} hosts"));
     }
 }
 
-/// Worlds in which more deadly jobs come than their pool can try.
+/// Scenarios in which more poison jobs are submitted than their pool can try.
 fn scenarios() -> Vec<Scenario> {
     let base = Scenario::default();
     let shares = [0.05, 0.2, 0.45, 0.8];
@@ -218,7 +220,7 @@
     scenarios
 }
 
-/// What broke in the worlds of all shapes and seeds, as `look` finds it.
+/// Asserts that `check` finds no violation with any scenario and seed.
 fn assert_no_violations(check: impl Fn(u64, Scenario) -> Vec<String>) {
     let mut violations = Vec::new();
     for scenario in scenarios() {
@@ -232,12 +234,12 @@
     let count = violations.len();
     assert!(
         violations.is_empty(),
-        "{count} worlds:\n{}",
+        "{count} simulations violate a guarantee:\n{}",
         violations.join("\n")
     );
 }
 
-/// Accepted jobs waited for good where more deadly jobs came than their pool could try.
+/// Accepted jobs waited forever where more poison jobs were submitted than their pool could try.
 #[test]
 fn no_accepted_job_waits_forever_beside_many_poison_jobs() {
     assert_no_violations(|seed, scenario| {
@@ -247,7 +249,8 @@
     });
 }
 
-/// Nine tenths of what a quiet queue of another pool does in time alone, it does beside a storm.
+/// Of the jobs that the queue of another pool completes in time without poison jobs, it completes at least
+/// nine tenths as many in time with them.
 #[test]
 fn many_poison_jobs_cost_another_queue_no_more_than_a_tenth() {
     assert_no_violations(|seed, scenario| {
@@ -255,9 +258,10 @@
             share: 0.0,
             ..scenario
         };
-        let (over, on_time) = simulate(seed, scenario).other_queue;
+        let (completed, on_time) = simulate(seed, scenario).other_queue;
         let (_, calm_on_time) = simulate(seed, calm).other_queue;
-        let violation = format!("{on_time} of {over} in time, {calm_on_time} without a storm");
+        let violation =
+            format!("{on_time} of {completed} in time, {calm_on_time} without poison jobs");
         let is_short = on_time * 10 < calm_on_time * 9;
         is_short.then_some(violation).into_iter().collect()
     });
--- a/tests/workload/poison_tasks.rs
+++ b/tests/workload/poison_tasks.rs
@@ -1,20 +1,21 @@
-//! Tasks that take their hosts down.
+//! Tasks that crash the hosts they run on.
 //!
-//! What was seen first: a tenth of the jobs of a queue ended every host that ran one of their tasks. Each
-//! of these tasks was started up to eighty times, a third of all attempts was lost with hosts, and less
-//! than half of all jobs was done. How it came about: a task whose host has ended is started elsewhere
-//! at once. Cause: the end of a host was evidence against nobody. Proof: the worlds here, in which the
-//! same happens without a network.
+//! The tests guard against two faults.
 //!
-//! What was seen next: tasks were started up to sixteen times more after a third host had ended under
-//! them. How it came about: what ended its host later than a quarter of a second after its start was taken
-//! for work like any other, whose host ends by itself. Cause: what an end proves depended on a constant for
-//! how long a task begins, and on nothing that was seen of how often hosts end. Proof: worlds in which
-//! only the time differs after which a task ends its host.
+//! A tenth of the jobs of a queue crashed every host that ran one of their tasks. Each of these tasks was
+//! started up to eighty times, a third of all attempts was lost with hosts, and less than half of all jobs
+//! was done. The tasks of a crashed host start elsewhere at once, and the crash of a host was evidence
+//! against none of them. The simulations here do the same without a network.
 //!
-//! The bound is three hosts, as no start after the third is what users count on. Where hosts end by
-//! themselves so often that the third end may be such a one, and where a leader has seen too few hosts
-//! for too short a time to know, a task costs more.
+//! Later, tasks were started up to sixteen times more after a third host had crashed under them. If a task
+//! crashed its host later than a quarter of a second after its start, it was taken for a harmless one whose
+//! host had crashed by itself. What a crash proved depended on a constant for the time that a task takes to
+//! start, and not on how often hosts were seen to crash. Some simulations differ only in the time after which
+//! a task crashes its host.
+//!
+//! The bound is three hosts: users rely on a task not being started after its third crash. A task costs more
+//! hosts where hosts crash by themselves so often that the third crash may be one of these, and where a
+//! leader has observed too few hosts for too short a time to know how often they do.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -24,35 +25,35 @@
 
 use crate::world::{GUIDED, MOST_HOSTS, SPARE, World, lasting, ms, step};
 
-/// The job that lasts.
+/// The ID of the long-running job.
 const LONG_RUNNING_JOB: u64 = 1000;
-/// Worlds that are played of each kind.
+/// The number of seeds of most scenarios.
 const SEEDS: u64 = 12;
-/// And of those that take longer.
+/// The number of seeds of scenarios that take longer to simulate.
 const SLOW_SEEDS: u64 = 4;
 
-/// A world, and what befalls it besides.
+/// The hosts and jobs of a simulation, and what goes wrong beside its poison tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Scenario {
     hosts: usize,
-    /// The part of the jobs that are deadly.
+    /// The fraction of the jobs that are poison jobs.
     share: f64,
-    /// How long deadly tasks run before they end their hosts.
+    /// The shortest and the longest time that a poison task runs before it crashes its host.
     delays: (Duration, Duration),
     /// How long other tasks take.
     work: Duration,
-    /// From one job to the next.
+    /// The time from one submitted job to the next.
     interval: Duration,
     seeds: u64,
-    /// The hosts that each of them ends in the worlds that it is compared with.
+    /// The number of hosts that each poison task crashes in the simulations that serve as the baseline.
     baseline_kills: u32,
-    /// The leader ends in the midst of it, and another follows.
+    /// Whether the leader changes once, half-way through the jobs.
     takeover: bool,
-    /// It does each so many jobs.
+    /// The number of jobs from one change of the leader to the next.
     takeovers: Option<u64>,
-    /// All hosts of four racks end at once.
+    /// Whether all hosts of four racks crash at once.
     rack_outage: bool,
-    /// Hosts end by themselves, one each two seconds.
+    /// Whether hosts crash by themselves, one every two seconds.
     crashes: bool,
 }
 
@@ -75,7 +76,8 @@
 }
 
 impl Scenario {
-    /// Deadly tasks that end their hosts so long after their starts, among others that take longer.
+    /// Poison tasks that crash their hosts this long after their starts, among harmless tasks that take
+    /// longer than by default.
     fn delayed_crashes(delay: Duration) -> Self {
         Self {
             delays: (delay, delay),
@@ -87,22 +89,24 @@
         }
     }
 
-    /// What a job is expected to take at most: what its queue asks, and some looks.
+    /// The time that a job is expected to take at most: the objective of its queue, and some polls of an
+    /// agent.
     fn objective(&self) -> Duration {
         self.work * 3 / 2 + ms(500 + 200)
     }
 }
 
-/// What came of the jobs that aren't deadly.
+/// The results of the harmless jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Outcome {
     completed: usize,
     on_time: usize,
-    /// What broke a promise, by seed.
+    /// The violated guarantees, by seed.
     violations: Vec<String>,
 }
 
-/// A hundred and twenty jobs of which some are deadly, and end so many hosts at most.
+/// Simulates a hundred and twenty jobs, some of them poison jobs whose tasks crash at most `max_kills` hosts
+/// each.
 fn simulate(seed: u64, max_kills: u32, scenario: Scenario) -> Outcome {
     const JOB_COUNT: u64 = 120;
     let mut world = World::new(scenario.hosts, seed);
@@ -122,7 +126,7 @@
         let tasks = rng.random_range(3..9);
         world.submit(job, JobSpec::new("x", vec![step(tasks, 2, work)]));
         if rng.random_bool(scenario.share) {
-            // Where none is deadly those are left out as well, so that the same jobs are compared.
+            // Not counted in a baseline without crashes either, so that the same jobs are compared.
             world.deadly.insert(job, 1);
         } else {
             due.insert(job, world.now + scenario.objective());
@@ -150,7 +154,8 @@
             count_completed(&world, &mut due, &mut outcome);
         }
     }
-    // What a deadly task may cost, its wait for a host each time, and until nobody is suspected any more.
+    // Long enough for a poison task to crash all the hosts that it may, with a wait for a host each time, and
+    // for the last suspicion to end.
     let end = world.now + ms(45_000) + (scenario.delays.1 + scenario.work) * (2 * MOST_HOSTS);
     while world.now < end {
         world.pass(ms(10));
@@ -162,18 +167,18 @@
     if over_limit > 0 {
         let max_killed = world.killed.values().max();
         violations.push(format!(
-            "{over_limit} of {killers} deadly tasks cost over {MOST_HOSTS} hosts, one {max_killed:?}"
+            "{over_limit} of {killers} poison tasks crashed over {MOST_HOSTS} hosts, one of them {max_killed:?}"
         ));
     }
     for job in world.deadly.keys() {
-        // What was proposed when a leader ended may not have been accepted.
+        // A job that was proposed when the leader was lost may not have been committed.
         let state = world.state(*job);
         if max_kills == u32::MAX && !matches!(state, Some(JobState::Failed) | None) {
-            violations.push(format!("deadly job {job} is {state:?}"));
+            violations.push(format!("poison job {job} is {state:?}"));
         }
     }
     for (id, job) in world.ledger.jobs() {
-        // Those that end no host are like any other.
+        // Poison jobs that may crash no host are like any other.
         let is_poison = max_kills > 0 && world.deadly.contains_key(&id);
         if !is_poison && id != LONG_RUNNING_JOB && job.state != JobState::Completed {
             violations.push(format!("job {id} is {:?}", job.state));
@@ -181,7 +186,7 @@
     }
     let running = world.runs(LONG_RUNNING_JOB).len();
     if running != 4 {
-        violations.push(format!("{running} of 4 lasting tasks run"));
+        violations.push(format!("{running} of 4 long-running tasks run"));
     }
     if world.scheduler.as_ref().map(Scheduler::suspected) != Some(0) {
         violations.push("tasks are still suspected".to_owned());
@@ -194,14 +199,14 @@
     outcome
 }
 
-/// Has a host end, if it is up, and come back.
+/// Crashes a host if it is up; it comes back later.
 fn crash_host(world: &mut World, host: &str) {
     if let Some(agent) = world.living(&host.into()) {
         world.restart(&agent);
     }
 }
 
-/// Counts the innocent jobs that are done by now.
+/// Counts the harmless jobs that have completed since the last call.
 fn count_completed(world: &World, due: &mut BTreeMap<u64, Duration>, outcome: &mut Outcome) {
     due.retain(|job, due| {
         let completed = world.state(*job) == Some(JobState::Completed);
@@ -211,7 +216,7 @@
     });
 }
 
-/// Worlds of all seeds in which a deadly task ends so many hosts at most.
+/// Simulates a scenario with all its seeds; each poison task crashes at most `max_kills` hosts.
 fn simulate_all(max_kills: u32, scenario: Scenario) -> Outcome {
     let mut total = Outcome::default();
     for seed in 0..scenario.seeds {
@@ -223,9 +228,10 @@
     total
 }
 
-/// What broke a promise in such worlds, and whether nine tenths of what is in time there without deadly
-/// jobs is in time with them. What runs for long is late, too, where others end their first host, which
-/// nothing can tell before: it is compared with worlds in which they end that one only.
+/// The guarantees that a scenario violates. One of them: with poison jobs, at least nine tenths as many
+/// harmless jobs are in time as in the baseline. Tasks that take long are also late because a poison task
+/// crashes its first host, which nothing can predict. So in their baseline each poison task crashes that one
+/// host.
 fn violations(scenario: Scenario) -> Vec<String> {
     let with_poison = simulate_all(u32::MAX, scenario);
     let baseline = simulate_all(scenario.baseline_kills, scenario);
@@ -241,7 +247,7 @@
     );
     if with_poison.on_time * 10 < baseline.on_time * 9 {
         violations.push(format!(
-            "{} in time with deadly jobs, {} without",
+            "{} in time with poison jobs, {} in the baseline",
             with_poison.on_time, baseline.on_time
         ));
     }
@@ -283,7 +289,7 @@
     });
 }
 
-/// Worlds in which deadly tasks end their hosts later, or in which there is less to tell them by.
+/// Scenarios in which poison tasks crash their hosts later, or in which there is less evidence against them.
 fn delayed_crash_scenarios() -> Vec<Scenario> {
     let mut scenarios: Vec<_> = [20, 260, 300, 600, 1000]
         .map(|delay| Scenario::delayed_crashes(ms(delay)))
@@ -319,15 +325,15 @@
     assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// A lasting task ends its hosts, and other lasting tasks go on; how many hosts it cost, where the fleet was
-/// at work for so long before.
+/// Simulates a long-running poison task on a fleet that has been running for `idle_time` before, and checks
+/// that other long-running tasks go on. Returns how many hosts the task crashed.
 fn hosts_lost_to_long_running_task(idle_time: Duration) -> u32 {
     let mut world = World::new(8, 3);
     world.deadly.insert(1, 1);
     world.submit(2, JobSpec::new("x", vec![lasting(4, 2)]));
     world.pass(idle_time);
     world.submit(1, JobSpec::new("x", vec![lasting(1, 2)]));
-    world.until("it is convicted", ms(30_000), |world| {
+    world.until("the job of the poison task fails", ms(30_000), |world| {
         world.state(1) == Some(JobState::Failed)
     });
     let hosts = world.killed.values().copied().max().unwrap_or_default();
@@ -339,7 +345,7 @@
 
 #[test]
 fn a_long_running_poison_task_fails_and_its_neighbours_go_on() {
-    // Four hosts at work for seconds don't show how often such hosts end.
+    // Four hosts that have run for seconds don't show how often such hosts crash.
     assert!(hosts_lost_to_long_running_task(Duration::ZERO) <= MOST_HOSTS + 2);
     assert!(hosts_lost_to_long_running_task(ms(60_000)) <= MOST_HOSTS);
 }
@@ -366,7 +372,9 @@
             );
             crash_host(&mut world, &host);
         }
-        world.until("it runs", ms(9000), |world| world.runs(1).len() == 1);
+        world.until("the task runs again", ms(9000), |world| {
+            world.runs(1).len() == 1
+        });
     }
 }
 
@@ -390,7 +398,7 @@
     for job in 1..=6 {
         world.submit_to(GUIDED, job, JobSpec::new("x", vec![step(2, 2, 500)]));
     }
-    world.until("all are over", ms(20_000), |world| {
+    world.until("all jobs have ended", ms(20_000), |world| {
         (2..=6).all(|job| world.state(job) == Some(JobState::Completed))
             && world.state(1) == Some(JobState::Failed)
     });
--- a/tests/workload/restarted_agents.rs
+++ b/tests/workload/restarted_agents.rs
@@ -1,10 +1,10 @@
-//! Agents that start again under the id that they had.
+//! Agents that restart under the ID that they had.
 //!
-//! What was seen: a task that had been done was started again, on the host that had done it. How it came
-//! about: its agent had started again under its id, and its ends were numbered from one again. The leader
-//! had taken in more ends of the life before, took the new ones for known, and acknowledged them, so that
-//! the agent forgot them. Cause: an id was taken for one life. Proof: the worlds here, in which agents keep
-//! their ids.
+//! The tests guard against a task being started again on the host that had done it. The agent of the host had
+//! restarted under its ID and numbered the ends of its runs from one again. The leader had received more ends
+//! from the former incarnation, so it took the new ends for known and acknowledged them, and the agent forgot
+//! them. The cause was that an ID was taken to stand for one incarnation. In the simulations here agents keep
+//! their IDs.
 
 use std::{ops::RangeInclusive, panic, time::Duration};
 
@@ -24,12 +24,12 @@
     world::{Faults, OTHER, POOL, World, ms, step},
 };
 
-/// Worlds that are played of each kind.
+/// The number of seeds that are simulated.
 const SEEDS: u64 = 24;
-/// The variable that names other seeds of the worlds in which all comes by chance: the first and the last.
+/// The environment variable for other seeds of the randomized simulations, as FIRST-LAST.
 const SEEDS_VARIABLE: &str = "EGRETPIN_WORLD_SEEDS";
 
-/// A task was started again after it had been done: its end was taken for one of the life before.
+/// A task was started again after it had been done: its end was taken for one of the former incarnation.
 #[test]
 fn tasks_done_by_a_restarted_agent_are_not_started_again() {
     let mut world = World::new(1, 1);
@@ -38,15 +38,19 @@
     let agent = world.living(&"h9".into()).unwrap();
     world.submit(1, JobSpec::new("x", vec![step(12, 1, 200)]));
     let done = |job| move |world: &World| world.state(job) == Some(JobState::Completed);
-    world.until("the first life has ended tasks", ms(3000), done(1));
+    world.until("the first incarnation completes its job", ms(3000), done(1));
     world.reboot(&agent);
     world.submit(2, JobSpec::new("x", vec![step(12, 1, 200)]));
-    world.until("the second one has", ms(9000), done(2));
+    world.until(
+        "the second incarnation completes its job",
+        ms(9000),
+        done(2),
+    );
     assert!(world.starts.values().all(|starts| *starts == 1));
 }
 
-/// Plays worlds in which this part of the agents keep their ids, with and without leaders that follow each
-/// other.
+/// Simulates worlds in which this fraction of the agents keep their IDs, with and without changes of the
+/// leader.
 fn simulate_all(id_reuse: f64, faults: Faults) {
     for seed in 0..SEEDS {
         for takeovers in [false, true] {
@@ -57,7 +61,7 @@
     }
 }
 
-/// Orders for one life were taken for carried out there, though the next one got them.
+/// Orders for one incarnation were assumed to be carried out there, although the next one had received them.
 #[test]
 fn agents_that_restart_under_their_ids_start_nothing_twice() {
     let faults = Faults {
@@ -68,7 +72,7 @@
     simulate_all(0.5, faults);
 }
 
-/// The same beside answers that are lost and agents that aren't well.
+/// The same fault beside lost answers and agents that aren't well.
 #[test]
 fn agents_that_restart_beside_lost_answers_start_nothing_twice() {
     let faults = Faults {
@@ -82,7 +86,7 @@
     simulate_all(1.0, faults);
 }
 
-/// The same beside orders that are carried out seconds late.
+/// The same fault beside orders that are carried out seconds late.
 #[test]
 fn agents_that_restart_beside_late_orders_start_nothing_twice() {
     let faults = Faults {
@@ -93,8 +97,8 @@
     simulate_all(1.0, faults);
 }
 
-/// An acknowledgement for one life reached the next one, which forgot an end of a task that had been meant
-/// for the first; the task was started again.
+/// An acknowledgement meant for one incarnation reached the next one, which forgot the end of a task whose
+/// start had been meant for the first one. The task was started again.
 #[test]
 fn no_acknowledgement_for_one_incarnation_is_accepted_by_the_next() {
     for seed in 0..SEEDS {
@@ -111,20 +115,20 @@
                 world.reboot(&agents[rng.random_range(0..agents.len())]);
             }
         }
-        world.until("all are through", ms(30_000), |world| {
+        world.until("all jobs are completed", ms(30_000), |world| {
             let mut jobs = world.ledger.jobs();
             jobs.all(|(_, job)| job.state == JobState::Completed)
         });
     }
 }
 
-/// A step of the world's time.
+/// One time step of the world.
 const TICK: Duration = ms(5);
-/// How often a task may fail.
+/// The number of times that a task may fail.
 const MAX_ATTEMPTS: u32 = 3;
-/// Steps within which something that is forced happens.
+/// The number of time steps over which the time of the forced event is varied.
 const MAX_TICKS: u32 = 60;
-/// The job that each forced order of events is about, and its only task.
+/// The job in each forced order of events, and its only task.
 const JOB: u64 = 1;
 const TASK: TaskId = TaskId {
     step: StepId {
@@ -135,7 +139,7 @@
     task: 0,
 };
 
-/// Three hosts whose agents keep their ids, and one of another pool.
+/// A world with three hosts whose agents keep their IDs, and one host of another pool.
 fn three_hosts() -> World {
     let mut world = World::new(0, 1);
     world.keeps = 1.0;
@@ -148,7 +152,8 @@
     world
 }
 
-/// A host whose agent keeps its id and is heard late when it has started again, and one of another pool.
+/// A world with one host whose agent keeps its ID, and sends its first heartbeat late after a restart.
+/// Another pool has one host, too.
 fn one_host() -> World {
     let mut world = World::new(0, 1);
     world.keeps = 1.0;
@@ -159,30 +164,30 @@
     world
 }
 
-/// Has an agent end while the start of a task of so many milliseconds is under way to it; who is the next one
-/// there.
+/// Restarts an agent while the start of a task that takes this number of milliseconds is on its way to it.
+/// Returns the next incarnation.
 fn restart_during_start(world: &mut World, millis: u64) -> MinionId {
     let starts = world.sent.get("start").copied().unwrap_or_default();
     world.submit(JOB, JobSpec::new("x", vec![step(1, 1, millis)]));
-    world.until("its start is under way", ms(500), |world| {
+    world.until("the start of the task is on its way", ms(500), |world| {
         world.sent.get("start").copied().unwrap_or_default() > starts
     });
     let former = world.placed(JOB).unwrap();
     world.reboot(&former).unwrap()
 }
 
-/// Plays on until the job is through and its ends are taken note of; whether the task was started again
-/// though a run of it had ended well, and whether that was taken note of.
+/// Continues until the job is completed and its ends are acknowledged. Returns whether the task was started
+/// again although a run of it had succeeded, and whether the end of that run was acknowledged.
 fn complete_and_check(mut world: World) -> (bool, bool) {
-    world.until("the job is through", ms(20_000), |world| {
+    world.until("the job is completed", ms(20_000), |world| {
         world.state(JOB) == Some(JobState::Completed)
     });
     world.pass(ms(3000));
     (!world.repeated.is_empty(), !world.redone.is_empty())
 }
 
-/// No order of events out of some, by their numbers, has a task started again though a run of it had ended
-/// well.
+/// Simulates each of these orders of events, and asserts that none of them starts a task again of which a run
+/// had succeeded.
 fn assert_no_rerun(orders: impl Iterator<Item = u32>, play: impl Fn(u32) -> World) {
     let (mut count, mut reruns, mut acknowledged_count) = (0, Vec::new(), 0);
     for order in orders {
@@ -194,12 +199,12 @@
     let failing = reruns.len();
     assert!(
         reruns.is_empty(),
-        "in {failing} of {count} orders of events a done task was started again: {reruns:?}; in {acknowledged_count} of them its end was taken note of"
+        "in {failing} of {count} orders of events a completed task was started again: {reruns:?}; in {acknowledged_count} of them its end was acknowledged"
     );
 }
 
-/// A task ran to its end at the next incarnation, which wasn't heard before the earlier one was over, and was
-/// started again.
+/// The next incarnation completed a task, but the leader received no heartbeat from it before it took the
+/// former one for lost. The task was started again.
 #[test]
 fn a_task_done_by_an_unknown_incarnation_is_not_started_again() {
     assert_no_rerun(0..MAX_TICKS, |ticks| {
@@ -212,8 +217,8 @@
     });
 }
 
-/// A task ended at the next incarnation after that had listed it as running and before the stop came, and
-/// was started again before the next list.
+/// A task ended at the next incarnation after that had reported it as running and before the order to stop it
+/// arrived. The task was started again before the next report.
 #[test]
 fn a_task_that_ends_between_a_report_and_a_stop_is_not_started_again() {
     assert_no_rerun(0..MAX_TICKS, |ticks| {
@@ -225,8 +230,8 @@
     });
 }
 
-/// A start came to the next incarnation after its first list, and the task ended before the stop came; it
-/// was started again before the next list.
+/// A start reached the next incarnation after its first report, and the task ended before the order to stop
+/// it arrived. The task was started again before the next report.
 #[test]
 fn a_task_that_starts_after_a_report_and_ends_before_a_stop_is_not_started_again() {
     assert_no_rerun(0..MAX_TICKS, |ticks| {
@@ -238,8 +243,8 @@
     });
 }
 
-/// A leader followed after the earlier incarnation had been found to be over, and started the task again
-/// before it had seen what the next one had done.
+/// A new leader took over after the former incarnation had been found lost, and started the task again before
+/// it knew that the next incarnation had done it.
 #[test]
 fn a_task_done_by_an_unknown_incarnation_is_not_started_again_by_the_next_leader() {
     assert_no_rerun(0..MAX_TICKS, |ticks| {
@@ -254,7 +259,7 @@
     });
 }
 
-/// The same beside a task that ends at any time after the next leader has begun.
+/// The same fault with a task that ends at any time after the term of the next leader began.
 #[test]
 fn a_task_that_ends_between_a_report_and_a_stop_is_not_started_again_by_the_next_leader() {
     assert_no_rerun(0..MAX_TICKS, |ticks| {
@@ -271,8 +276,9 @@
     });
 }
 
-/// By the younger clock of the next incarnation the lease of a start ends later than was counted: the task
-/// could be started elsewhere, as that incarnation is cut off, and still run there.
+/// The clock of the next incarnation is younger, and by that clock the lease of a start ends later than the
+/// leader assumed. While that incarnation was disconnected, the task could be started elsewhere and still run
+/// there.
 #[test]
 fn a_task_at_the_next_incarnation_runs_no_longer_than_the_leader_assumes() {
     let mut world = three_hosts();
@@ -281,18 +287,18 @@
     let next = restart_during_start(&mut world, 5000);
     world.pass(TICK * 3);
     world.cut(&next, ms(9000));
-    world.until("the job is through", ms(30_000), |world| {
+    world.until("the job is completed", ms(30_000), |world| {
         world.state(JOB) == Some(JobState::Completed)
     });
 }
 
-/// A task failed at incarnations that got what was meant for the one before, and none of these ends counted
-/// as an attempt.
+/// A task failed at incarnations that received the starts meant for the former ones, and none of these
+/// failures counted as an attempt.
 #[test]
 fn a_failure_at_the_next_incarnation_counts_as_an_attempt() {
     let mut world = three_hosts();
-    // The ends of hosts aren't held against it, and each next incarnation is heard and told that its
-    // end is known before the task is free.
+    // The loss of a host is no evidence against the task. And before the task may be placed again, the
+    // leader has heard from each next incarnation and acknowledged the end of the task there.
     world.protections.suspicion = false;
     world.stopping = ms(4000);
     world.depose();
@@ -302,9 +308,11 @@
     restart_during_start(&mut world, 5);
     for attempt in 2..=MAX_ATTEMPTS + 1 {
         let starts = world.sent["start"];
-        world.until("the job has failed, or is tried again", ms(6000), |world| {
-            world.sent["start"] > starts || world.state(JOB) == Some(JobState::Failed)
-        });
+        world.until(
+            "the job has failed, or its task is started again",
+            ms(6000),
+            |world| world.sent["start"] > starts || world.state(JOB) == Some(JobState::Failed),
+        );
         let former = world.placed(JOB).filter(|_| attempt <= MAX_ATTEMPTS);
         former.and_then(|former| world.reboot(&former));
         world.pass(TICK * 2);
@@ -316,36 +324,38 @@
     );
     assert!(
         starts <= MAX_ATTEMPTS || failures < MAX_ATTEMPTS,
-        "{starts} starts, and {failures} ends of failed ones were taken note of"
+        "{starts} starts, and {failures} failures were acknowledged"
     );
 }
 
-/// A task was done at the next incarnation, after the earlier one had been found to be over and before it was
-/// placed again; it was suspected of that end for ever, and the step after it never began.
+/// The next incarnation completed a task after the former one had been found lost and before the task was
+/// placed again. The task stayed a suspect because of that loss forever, and the step after it never started.
 #[test]
 fn a_step_after_a_suspect_done_by_the_next_incarnation_starts() {
     let mut world = one_host();
     let mut steps = vec![step(1, 1, 20), step(1, 1, 20)];
     steps[1].after = vec![0];
     world.submit(JOB, JobSpec::new("x", steps));
-    world.until("its start is under way", ms(500), |world| {
-        world.sent.contains_key("start")
-    });
+    world.until(
+        "the start of the first task is on its way",
+        ms(500),
+        |world| world.sent.contains_key("start"),
+    );
     let former = world.placed(JOB).unwrap();
     world.reboot(&former);
-    world.until("the job is through", ms(20_000), |world| {
+    world.until("the job is completed", ms(20_000), |world| {
         world.state(JOB) == Some(JobState::Completed)
     });
 }
 
-/// An acknowledgement for one life was overtaken by a start, and the next life forgot the end of what it had
-/// started.
+/// A start overtook an acknowledgement meant for one incarnation, and the next incarnation forgot the end of
+/// the task that it had started.
 #[test]
 fn an_acknowledgement_overtaken_by_a_start_makes_the_next_incarnation_forget_nothing() {
     assert_no_rerun(0..MAX_TICKS, |ticks| {
         let mut world = three_hosts();
         world.submit(9, JobSpec::new("x", vec![step(9, 2, 200)]));
-        world.until("others are through", ms(3000), |world| {
+        world.until("the other job is completed", ms(3000), |world| {
             world.state(9) == Some(JobState::Completed)
         });
         world.lags.insert("renew", ms(100));
@@ -355,8 +365,8 @@
     });
 }
 
-/// Short tasks at agents that start again in series, beside lost and late answers, jobs that are cancelled and
-/// leaders that follow each other; what was started again though a run of it had ended well.
+/// Simulates short tasks at agents that restart repeatedly, beside lost and late answers, cancelled jobs and
+/// changes of the leader. Returns the tasks that were started again although a run of them had succeeded.
 fn simulate_random(seed: u64, id_reuse: f64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x4e77);
     let mut world = World::new(0, seed);
@@ -382,7 +392,7 @@
             0..4 => {
                 let host = format!("h{}", rng.random_range(1..=4)).as_str().into();
                 for _ in 0..rng.random_range(1..4) {
-                    // Its host may be away for a move.
+                    // There is no agent while its host is being moved.
                     if let Some(agent) = world.living(&host) {
                         world.reboot(&agent);
                     }
@@ -399,46 +409,50 @@
         }
     }
     world.faults = Faults::default();
-    world.until("all are over", ms(60_000), |world| {
+    world.until("all jobs have ended", ms(60_000), |world| {
         world.ledger.jobs().all(|(_, job)| job.has_ended())
     });
     world.pass(ms(3000));
     world.redone
 }
 
-/// The seeds on which something was started again though a run of it had ended well, or a check of an agent
+/// The seeds with which a task was started again although a run of it had succeeded, or a check of an agent
 /// failed.
 fn failing_seeds(id_reuse: f64) -> Vec<String> {
     let mut failing = Vec::new();
     for seed in seeds() {
         match panic::catch_unwind(|| simulate_random(seed, id_reuse)) {
             Ok(reruns) if reruns.is_empty() => {}
-            Ok(reruns) => failing.push(format!("{seed}: {} were redone", reruns.len())),
-            Err(_) => failing.push(format!("{seed}: a check of an agent")),
+            Ok(reruns) => {
+                failing.push(format!("{seed}: {} tasks were started again", reruns.len()))
+            }
+            Err(_) => failing.push(format!("{seed}: a check of an agent failed")),
         }
     }
     failing
 }
 
-/// All of it by chance, on many seeds.
+/// Orders of events drawn at random, with many seeds.
 #[test]
 fn no_done_task_is_started_again_where_agents_restart_repeatedly() {
     let failing = failing_seeds(1.0);
     assert!(failing.is_empty(), "{} seeds: {failing:#?}", failing.len());
 }
 
-/// The same where each life has an id of its own.
+/// The same where each incarnation has an ID of its own.
 #[test]
 fn no_done_task_is_started_again_where_agents_are_replaced_repeatedly() {
     let failing = failing_seeds(0.0);
     assert!(failing.is_empty(), "{} seeds: {failing:#?}", failing.len());
 }
 
-/// The seeds that the environment names, or those of every run.
+/// The seeds that the environment names, or else the default ones.
 fn seeds() -> RangeInclusive<u64> {
     let Ok(range) = std::env::var(SEEDS_VARIABLE) else {
         return 0..=SEEDS;
     };
-    let (first, last) = range.split_once('-').expect("FIRST-LAST");
+    let (first, last) = range
+        .split_once('-')
+        .expect("the seeds have the form FIRST-LAST");
     first.parse().unwrap()..=last.parse().unwrap()
 }
--- a/tests/workload/scarce_hosts.rs
+++ b/tests/workload/scarce_hosts.rs
@@ -1,12 +1,12 @@
-//! Tasks that take their hosts down where few hosts can be kept free.
+//! Poison tasks where few hosts can be kept free for trials.
 //!
-//! What was seen: tasks were started up to eight times more after a third host had ended under them,
-//! and jobs waited for a host of their own that never came. How it came about: each host of a pool ran
-//! a lasting task under which two hosts had ended, by the doing of others, and none of these was kept free
-//! for a suspect. So suspects ran beside each other, the same ones time after time, and each end made
-//! more of them. Proof: the worlds here, small pools with a lasting task on every host.
+//! The tests guard against tasks that were started up to eight times more after a third host had crashed
+//! under them, and against jobs that waited forever for a host to themselves. Each host of a pool ran a
+//! long-running task under which two hosts had crashed because of other tasks, and none of these hosts was
+//! kept free for a suspect. So suspects ran beside each other, the same ones time after time, and each crash
+//! made more of them. The simulations here have small pools with a long-running task on every host.
 //!
-//! A task under which a third host has ended may be started twice more, as users count on.
+//! A task may be started twice more after a third host has crashed under it; users rely on that limit.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,33 +16,34 @@
 
 use crate::world::{QUEUE, World, lasting, ms, step};
 
-/// Hosts that may end under a task: a third one, and those of two more starts.
+/// The most hosts that a task may crash: three, and those of two more starts.
 const MAX_KILLS: u32 = 5;
-/// The first of the jobs that last.
+/// The ID of the first long-running job.
 const FIRST_LONG_RUNNING_JOB: u64 = 1000;
-/// How long these have been at work before; the longer, the longer they are suspected.
+/// How long the long-running tasks run before the first batch job; the longer they have run, the longer they
+/// are suspected.
 const WARM_UP_TIME: Duration = ms(40_000);
-/// Worlds that are played of each shape.
+/// The number of seeds of each scenario.
 const SEEDS: u64 = 3;
 
-/// A pool, and the deadly jobs that it gets.
+/// A pool and the batch jobs submitted to it, among them poison jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Scenario {
     hosts: usize,
     jobs: u64,
-    /// The part of the jobs that are deadly.
+    /// The fraction of the jobs that are poison jobs.
     share: f64,
-    /// How many tasks of a deadly job are.
+    /// How many tasks of a poison job crash their hosts.
     poison_tasks: u32,
-    /// How long deadly tasks run before they end their hosts.
+    /// How long poison tasks run before they crash their hosts.
     delay: Duration,
-    /// How long a host that ended is away.
+    /// How long a crashed host is down.
     down_time: Duration,
-    /// From one job to the next.
+    /// The time from one submitted job to the next.
     interval: Duration,
-    /// What each short task takes, in thousandths of a core.
+    /// What each batch task takes, in thousandths of a core.
     millicores: u64,
-    /// Jobs from one takeover to the next.
+    /// The number of jobs from one change of the leader to the next.
     takeover_interval: Option<u64>,
 }
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// What broke a promise in a world of such a shape.
+/// Simulates a scenario and returns the guarantees that it violates.
 fn simulate(seed: u64, scenario: Scenario) -> Vec<String> {
     let mut world = World::new(scenario.hosts, seed);
     world.resets = true;
@@ -95,7 +96,7 @@
         }
         world.pass(scenario.interval);
     }
-    // What each deadly job may cost one host after the other, and some more.
+    // Long enough for each poison job to crash all the hosts that it may, one after the other, with a margin.
     let poison_jobs = u32::try_from(world.deadly.len()).unwrap();
     let crash_waves = (poison_jobs * MAX_KILLS).div_ceil(hosts) + 2;
     let limit =
@@ -123,14 +124,14 @@
     if !over_limit.is_empty() {
         let killers = world.killed.len();
         violations.push(format!(
-            "{} of {killers} tasks ended over {MAX_KILLS} hosts: {over_limit:?}",
+            "{} of {killers} poison tasks crashed over {MAX_KILLS} hosts: {over_limit:?}",
             over_limit.len()
         ));
     }
     if unfinished > 0 {
         let suspected = world.scheduler.as_ref().map_or(0, Scheduler::suspected);
         violations.push(format!(
-            "{unfinished} jobs wait in the end, {suspected} tasks suspected"
+            "{unfinished} jobs still wait at the end, {suspected} tasks are suspected"
         ));
     }
     let failed = world
@@ -140,10 +141,10 @@
     for (id, job) in failed {
         let ends = world.ends.iter().filter(|(task, _)| task.step.job == id);
         let crashes = ends.map(|(_, ends)| *ends).max().unwrap_or_default();
-        // Callers know that a task under which two hosts have ended may be given up.
+        // Callers know that the job of a task may fail if two hosts have crashed under the task.
         if crashes < 2 {
             violations.push(format!(
-                "job {id} failed, {crashes} hosts ended under a task: {:?}",
+                "job {id} failed with at most {crashes} host crashes under a task: {:?}",
                 job.evidence
             ));
         }
@@ -166,14 +167,14 @@
     }
     assert!(
         violations.is_empty(),
-        "{} worlds:\n{}",
+        "{} simulations violate a guarantee:\n{}",
         violations.len(),
         violations.join("\n")
     );
 }
 
-/// Deadly tasks kept starting beside each other, and jobs kept waiting, where each host ran lasting tasks
-/// that were suspected by the doing of others.
+/// Poison tasks kept starting beside each other, and jobs kept waiting, where each host ran long-running
+/// tasks that were suspects because of crashes that other tasks caused.
 #[test]
 fn no_poison_task_starts_three_times_more_where_hosts_are_scarce() {
     let mut scenarios: Vec<_> = [3, 5, 6, 8]
