--- a/tests/workload/cancelled.rs
+++ b/tests/workload/cancelled.rs
@@ -1,5 +1,5 @@
-//! Nothing of a cancelled job runs for long, however late its orders were carried out. The world
-//! checks it at every step.
+//! The tasks of a cancelled job stop soon, however late its orders were carried out. The world checks this at
+//! every time step.
 
 use egretpin::core::{
     types::MinionId,
@@ -10,28 +10,29 @@
 
 use crate::world::{Faults, POOL, World, long_running, ms, step};
 
-/// Seeds that are played.
+/// The number of seeds that are simulated.
 const SEEDS: u64 = 200;
-/// Times of trouble in each.
+/// The number of phases with disturbances in each simulation.
 const PHASES: u64 = 2;
-/// Further seeds that failed once.
+/// More seeds, which failed once.
 const REGRESSIONS: [u64; 0] = [];
 
-/// Which disturbances a world has.
+/// The disturbances of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
+struct Disturbances {
     faults: Faults,
-    /// Leaders end, and others begin, now and then after a while without one.
+    /// Whether leaders are lost and replaced, sometimes after a while without a leader.
     takeovers: bool,
-    /// Agents are cut off and run on.
-    cuts: bool,
-    /// Agents are taken for gone, and known again with their next heartbeat.
-    burials: bool,
-    /// No list shows a host, so that none is moved: a move ends what runs on where nobody looks.
-    still: bool,
+    /// Whether agents are disconnected while they keep running.
+    disconnections: bool,
+    /// Whether running agents are declared terminated, and become known again with their next heartbeat.
+    false_terminations: bool,
+    /// Whether the provider's lists show no hosts, so that no host is moved. A move would end what still runs
+    /// at agents that the leader doesn't poll.
+    hide_hosts: bool,
 }
 
-fn job(rng: &mut Pcg64Mcg) -> JobSpec {
+fn random_job(rng: &mut Pcg64Mcg) -> JobSpec {
     if rng.random_bool(0.5) {
         return JobSpec::new("x", vec![long_running(rng.random_range(1..4), 1)]);
     }
@@ -40,30 +41,30 @@
     JobSpec::new("x", vec![step(tasks, cores, rng.random_range(300..15_000))])
 }
 
-fn any(rng: &mut Pcg64Mcg, world: &World) -> MinionId {
+fn random_agent(rng: &mut Pcg64Mcg, world: &World) -> MinionId {
     let agents: Vec<_> = world.agents.keys().cloned().collect();
     agents[rng.random_range(0..agents.len())].clone()
 }
 
-/// Jobs come, and most are cancelled soon: for some seconds beside trouble, then for some without,
-/// in which late orders are still carried out.
-fn play(seed: u64, without: Protections, trouble: Trouble) {
+/// Submits jobs and cancels most of them soon: for some seconds with disturbances, then for some seconds
+/// without, in which late orders are still carried out.
+fn simulate(seed: u64, protections: Protections, disturbances: Disturbances) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x00ca_9ce1);
     let mut world = World::with_lease(8, seed, ms(10_000));
-    world.protections = without;
-    world.relaxed_checks = trouble.burials;
+    world.protections = protections;
+    world.relaxed_checks = disturbances.false_terminations;
     world.lead();
     for phase in 0..PHASES {
-        if trouble.still {
+        if disturbances.hide_hosts {
             world.unlisted = world.hosts.keys().cloned().collect();
         }
-        world.faults = trouble.faults;
+        world.faults = disturbances.faults;
         let first = phase * 16 + 1;
         for id in first..first + 16 {
             if id == first + 8 {
                 world.faults = Faults::default();
             }
-            world.submit(id, job(&mut rng));
+            world.submit(id, random_job(&mut rng));
             world.pass(ms(rng.random_range(0..900)));
             if rng.random_bool(0.8) {
                 let job = rng.random_range(id.saturating_sub(4).max(1)..=id);
@@ -71,7 +72,7 @@
             }
             world.pass(ms(rng.random_range(0..300)));
             if id < first + 8 {
-                disturb(&mut world, &mut rng, trouble);
+                disturb(&mut world, &mut rng, disturbances);
             }
         }
         for id in 1..first + 16 {
@@ -81,27 +82,27 @@
     }
 }
 
-fn disturb(world: &mut World, rng: &mut Pcg64Mcg, trouble: Trouble) {
+fn disturb(world: &mut World, rng: &mut Pcg64Mcg, disturbances: Disturbances) {
     match rng.random_range(0..8) {
-        0 if trouble.takeovers => {
+        0 if disturbances.takeovers => {
             world.depose();
             world.pass(ms(rng.random_range(0..3000)));
             world.lead();
         }
-        1 | 2 if trouble.cuts => {
-            let agent = any(rng, world);
+        1 | 2 if disturbances.disconnections => {
+            let agent = random_agent(rng, world);
             world.disconnect(&agent, ms(rng.random_range(500..16_000)));
         }
-        3 if trouble.burials => {
-            let agent = any(rng, world);
+        3 if disturbances.false_terminations => {
+            let agent = random_agent(rng, world);
             world.propose(Command::Terminated(agent));
         }
         4 => {
-            let agent = any(rng, world);
+            let agent = random_agent(rng, world);
             world.crash(&agent);
             let host = 100 + world.hosts.len();
             world.add_host(&format!("h{host}"), POOL);
-            if trouble.still {
+            if disturbances.hide_hosts {
                 world.unlisted.insert(format!("h{host}").into());
             }
         }
@@ -109,19 +110,24 @@
     }
 }
 
-/// The seeds that fail, as they are found.
-fn failing(without: Protections, trouble: Trouble) -> impl Iterator<Item = u64> {
+/// The seeds that fail, simulated one by one as the iterator advances.
+fn failing_seeds(
+    protections: Protections,
+    disturbances: Disturbances,
+) -> impl Iterator<Item = u64> {
     let seeds = (0..SEEDS).chain(REGRESSIONS);
-    seeds.filter(move |seed| std::panic::catch_unwind(|| play(*seed, without, trouble)).is_err())
+    seeds.filter(move |seed| {
+        std::panic::catch_unwind(|| simulate(*seed, protections, disturbances)).is_err()
+    })
 }
 
-/// Plays all seeds, and names all those that fail.
-fn play_all(trouble: Trouble) {
-    let failed: Vec<_> = failing(Protections::default(), trouble).collect();
+/// Simulates all seeds, and reports all those that fail.
+fn assert_no_seed_fails(disturbances: Disturbances) {
+    let failed: Vec<_> = failing_seeds(Protections::default(), disturbances).collect();
     assert!(failed.is_empty(), "{} seeds fail: {failed:?}", failed.len());
 }
 
-fn late() -> Faults {
+fn late_orders() -> Faults {
     Faults {
         late_orders: 0.2,
         unwell_refusals: 0.05,
@@ -130,125 +136,126 @@
 }
 
 #[test]
-fn nothing_of_a_cancelled_job_runs_on_in_calm() {
-    play_all(Trouble::default());
+fn a_cancelled_job_stops_without_disturbances() {
+    assert_no_seed_fails(Disturbances::default());
 }
 
 #[test]
-fn nor_when_orders_are_late() {
-    play_all(Trouble {
-        faults: late(),
-        ..Trouble::default()
+fn a_cancelled_job_stops_when_orders_are_late() {
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
+        ..Disturbances::default()
     });
 }
 
 #[test]
-fn nor_when_late_leases_count_from_when_they_come() {
-    play_all(Trouble {
+fn a_cancelled_job_stops_when_late_leases_count_from_their_arrival() {
+    assert_no_seed_fails(Disturbances {
         faults: Faults {
             lease_from_arrival: true,
-            ..late()
+            ..late_orders()
         },
-        ..Trouble::default()
+        ..Disturbances::default()
     });
 }
 
 #[test]
-fn nor_when_leaders_change_and_are_removed() {
-    play_all(Trouble {
-        faults: late(),
+fn a_cancelled_job_stops_when_leaders_change_and_are_absent() {
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
         takeovers: true,
-        ..Trouble::default()
+        ..Disturbances::default()
     });
 }
 
 #[test]
-fn nor_when_agents_are_cut_off() {
-    play_all(Trouble {
-        faults: late(),
-        cuts: true,
-        ..Trouble::default()
+fn a_cancelled_job_stops_when_agents_are_disconnected() {
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
+        disconnections: true,
+        ..Disturbances::default()
     });
 }
 
 #[test]
-fn nor_when_leaders_change_beside_agents_that_are_cut_off() {
-    play_all(Trouble {
+fn a_cancelled_job_stops_when_leaders_change_beside_disconnected_agents() {
+    assert_no_seed_fails(Disturbances {
         faults: Faults {
             lease_from_arrival: true,
             lost_answers: 0.05,
-            ..late()
+            ..late_orders()
         },
         takeovers: true,
-        cuts: true,
-        ..Trouble::default()
+        disconnections: true,
+        ..Disturbances::default()
     });
 }
 
 #[test]
-fn nor_when_agents_are_taken_for_gone() {
-    play_all(Trouble {
-        faults: late(),
-        burials: true,
-        ..Trouble::default()
+fn a_cancelled_job_stops_when_running_agents_are_declared_terminated() {
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
+        false_terminations: true,
+        ..Disturbances::default()
     });
 }
 
 #[test]
-fn nor_when_all_of_it_comes_at_once() {
-    play_all(Trouble {
+fn a_cancelled_job_stops_under_all_disturbances_at_once() {
+    assert_no_seed_fails(Disturbances {
         faults: Faults {
             lost_answers: 0.05,
             failed_attempts: 0.03,
             estimate_error: 2.0,
-            ..late()
+            ..late_orders()
         },
         takeovers: true,
-        cuts: true,
-        burials: true,
-        still: false,
+        disconnections: true,
+        false_terminations: true,
+        hide_hosts: false,
     });
 }
 
 #[test]
-fn nor_when_hosts_stay_where_they_are() {
-    play_all(Trouble {
-        faults: late(),
-        burials: true,
-        still: true,
-        ..Trouble::default()
+fn a_cancelled_job_stops_when_no_host_is_moved() {
+    assert_no_seed_fails(Disturbances {
+        faults: late_orders(),
+        false_terminations: true,
+        hide_hosts: true,
+        ..Disturbances::default()
     });
 }
 
 #[test]
-fn without_looking_at_idle_agents_a_cancelled_task_runs_on() {
-    // Most of what would run on is refused by its agent already, as it comes after its deadline.
-    let without = Protections {
+fn without_polls_of_idle_agents_a_cancelled_task_runs_on() {
+    // With start deadlines, agents refuse most starts of tasks that would run on, since these starts come
+    // too late.
+    let protections = Protections {
         polls: false,
         deadlines: false,
         ..Protections::default()
     };
-    let trouble = Trouble {
-        faults: late(),
-        burials: true,
-        still: true,
-        ..Trouble::default()
+    let disturbances = Disturbances {
+        faults: late_orders(),
+        false_terminations: true,
+        hide_hosts: true,
+        ..Disturbances::default()
     };
-    assert!(failing(without, trouble).next().is_some());
+    assert!(failing_seeds(protections, disturbances).next().is_some());
 }
 
 #[test]
-fn what_ran_through_a_wrong_burial_is_stopped_when_its_job_is_cancelled() {
+fn a_task_on_an_agent_wrongly_declared_terminated_stops_when_its_job_is_cancelled() {
     let mut world = World::with_lease(3, 1, ms(10_000));
     world.submit(1, JobSpec::new("x", vec![long_running(1, 2)]));
-    world.until("it runs", ms(2000), |world| world.runs(1).len() == 1);
+    world.until("the task runs", ms(2000), |world| world.runs(1).len() == 1);
     let (agent, _) = world.runs(1).remove(0);
     world.propose(Command::Terminated(agent));
     world.propose(Command::Cancel(1));
-    world.until("it is cancelled", ms(100), |world| {
+    world.until("the job is cancelled", ms(100), |world| {
         world.state(1) == Some(JobState::Cancelled)
     });
-    world.until("nothing of it runs", ms(3900), |world| {
+    world.until("no task of the job runs", ms(3900), |world| {
         world.runs(1).is_empty()
     });
 }
--- a/tests/workload/main.rs
+++ b/tests/workload/main.rs
@@ -1,11 +1,10 @@
 //! Jobs, their ledger and the leader's scheduler, on logical time.
 
-mod acquitted;
 mod budgets;
 mod cancelled;
 mod caps;
 mod catalog;
-mod deadly;
+mod completed_suspects;
 mod eligible;
 mod faults;
 mod hosts;
@@ -16,12 +15,13 @@
 mod lists;
 mod normal_operation;
 mod overload;
-mod reborn;
+mod poison_false_positives;
+mod poison_queues;
+mod poison_tasks;
 mod relays;
-mod scarce;
+mod restarted_agents;
+mod scarce_hosts;
 mod spec;
-mod storms;
-mod suspects;
 mod suspicion;
 mod vacating;
 mod workspaces;
