--- a/tests/workload/restarted_agents.rs
+++ b/tests/workload/restarted_agents.rs
@@ -427,7 +427,7 @@
         match panic::catch_unwind(|| simulate_random(seed, id_reuse)) {
             Ok(reruns) if reruns.is_empty() => {}
             Ok(reruns) => {
-                failing.push(format!("{seed}: {} tasks were started again", reruns.len()))
+                failing.push(format!("{seed}: {} tasks were started again", reruns.len()));
             }
             Err(_) => failing.push(format!("{seed}: a check of an agent failed")),
         }
