--- a/src/core/claims/answers.rs
+++ b/src/core/claims/answers.rs
@@ -1,49 +1,50 @@
-//! Answers held for resends, within a bound of bytes.
+//! A cache of answers to keyed requests, limited in bytes.
 //!
-//! A resend usually comes within seconds of the first send, often through the same entry host, so
-//! the oldest answer goes first. An answer that is gone, or held by another node, leaves the key
-//! spent: the caller hears that the request may have run, which is true, and not the answer.
+//! A resend usually arrives within seconds of the first send, often at the same entry host, so
+//! the cache evicts the oldest answer first. If the answer was evicted, or is cached by another
+//! node, the key is spent: the caller is told that the request may have run, which is true, but
+//! doesn't get the answer.
 
 use std::collections::VecDeque;
 
 use crate::core::types::{Key, Map, ServiceId};
 
-/// An answer takes at most one part in this many of the bound, so that one large answer doesn't
-/// push out all others.
-const PARTS: usize = 8;
-/// What an entry takes besides its key, its service and its answer, roughly, in bytes.
-const OVERHEAD: usize = 160;
+/// An entry takes at most this fraction (1/N) of the capacity, so that one large answer doesn't
+/// evict all others.
+const MAX_ENTRY_DIVISOR: usize = 8;
+/// Approximate size of an entry without its key, service and answer.
+const ENTRY_OVERHEAD_BYTES: usize = 160;
 
-type Id = (ServiceId, Key);
+type EntryKey = (ServiceId, Key);
 
-/// Answers of type `A` by service and key.
+/// Cached answers of type `A` by service and key.
 ///
 /// ```
-/// use egretpin::core::claims::{Answers, Held};
+/// use egretpin::core::claims::{AnswerCache, Lookup};
 ///
-/// let mut answers = Answers::new(64 * 1024);
+/// let mut answers = AnswerCache::new(64 * 1024);
 /// let (service, key) = ("intake".into(), "case-17".into());
-/// answers.put(&service, &key, 0xfeed, "accepted", 8);
-/// assert_eq!(answers.get(&service, &key, 0xfeed), Held::Answer(&"accepted"));
-/// assert_eq!(answers.get(&service, &key, 0xbeef), Held::Other);
+/// answers.insert(&service, &key, 0xfeed, "accepted", 8);
+/// assert_eq!(answers.get(&service, &key, 0xfeed), Lookup::Hit(&"accepted"));
+/// assert_eq!(answers.get(&service, &key, 0xbeef), Lookup::Mismatch);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Answers<A> {
-    bound: usize,
+pub struct AnswerCache<A> {
+    capacity: usize,
     bytes: usize,
-    entries: Map<Id, Entry<A>>,
-    order: VecDeque<Id>,
+    entries: Map<EntryKey, Entry<A>>,
+    insertion_order: VecDeque<EntryKey>,
 }
 
-/// What is held for a key.
+/// The result of looking up a key in the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held<'a, A> {
-    /// The answer to this very request.
-    Answer(&'a A),
-    /// The key was used for a different request; its answer is not this caller's to see.
-    Other,
-    /// Nothing.
-    Nothing,
+pub enum Lookup<'a, A> {
+    /// The answer to an identical request.
+    Hit(&'a A),
+    /// The key was used for a different request, whose answer must not be given to this caller.
+    Mismatch,
+    /// No answer is cached.
+    Miss,
 }
 
 #[derive(Clone, Debug)]
@@ -53,20 +54,20 @@
     size: usize,
 }
 
-impl<A> Answers<A> {
-    /// Holds at most `bound` bytes.
-    pub fn new(bound: usize) -> Self {
+impl<A> AnswerCache<A> {
+    /// Creates a cache of at most `capacity` bytes.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            bound,
+            capacity,
             bytes: 0,
             entries: Map::default(),
-            order: VecDeque::new(),
+            insertion_order: VecDeque::new(),
         }
     }
 
-    /// Holds an answer of `size` bytes to the request with this fingerprint, unless it is too
-    /// large. The first answer of a key stays.
-    pub fn put(
+    /// Caches an answer of `size` bytes to the request with this fingerprint, unless it is too
+    /// large or the key already has an answer.
+    pub fn insert(
         &mut self,
         service: &ServiceId,
         key: &Key,
@@ -75,8 +76,8 @@
         size: usize,
     ) {
         let id = (service.clone(), key.clone());
-        let size = size + service.len() + 2 * key.len() + OVERHEAD;
-        if size > self.bound / PARTS || self.entries.contains_key(&id) {
+        let size = size + service.len() + 2 * key.len() + ENTRY_OVERHEAD_BYTES;
+        if size > self.capacity / MAX_ENTRY_DIVISOR || self.entries.contains_key(&id) {
             return;
         }
         let entry = Entry {
@@ -85,28 +86,28 @@
             size,
         };
         self.entries.insert(id.clone(), entry);
-        self.order.push_back(id);
+        self.insertion_order.push_back(id);
         self.bytes += size;
-        self.trim();
+        self.evict();
     }
 
-    /// What a resend of the request with this fingerprint hears.
-    pub fn get(&self, service: &ServiceId, key: &Key, fingerprint: u64) -> Held<'_, A> {
+    /// Looks up the answer for a resend of the request with this fingerprint.
+    pub fn get(&self, service: &ServiceId, key: &Key, fingerprint: u64) -> Lookup<'_, A> {
         match self.entries.get(&(service.clone(), key.clone())) {
-            Some(entry) if entry.fingerprint == fingerprint => Held::Answer(&entry.answer),
-            Some(_) => Held::Other,
-            None => Held::Nothing,
+            Some(entry) if entry.fingerprint == fingerprint => Lookup::Hit(&entry.answer),
+            Some(_) => Lookup::Mismatch,
+            None => Lookup::Miss,
         }
     }
 
-    /// How many bytes are held.
+    /// The size of all entries in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn trim(&mut self) {
-        while self.bytes > self.bound {
-            let Some(id) = self.order.pop_front() else {
+    fn evict(&mut self) {
+        while self.bytes > self.capacity {
+            let Some(id) = self.insertion_order.pop_front() else {
                 return;
             };
             if let Some(entry) = self.entries.remove(&id) {
--- a/src/core/claims/claimant.rs
+++ b/src/core/claims/claimant.rs
@@ -1,10 +1,10 @@
 //! A node's side of the claims.
 //!
-//! For each keyed request the node asks, hears an answer, sends if it may, and settles. Every
-//! command is repeated until its effect is seen in the log; the table takes a repetition for what
-//! it is. A request that ended is remembered for a while, because a late copy of its claim may
-//! still be committed: the key would then be held by a request that no longer is, and the node
-//! frees it again.
+//! For each keyed request the node proposes a claim, receives the answer, sends the request if it
+//! may, and settles the claim. It proposes every command again until the command has been applied;
+//! the table's operations are idempotent. It keeps a record of an ended request for a while,
+//! because a late copy of its claim may still be committed: the key would then be held by a
+//! request that has ended, and the node settles it again.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,35 +16,35 @@
     types::{Key, NodeId, Now, ServiceId},
 };
 
-use super::{Ask, Claim, Command, Effect, Holder, Input, Output};
-
-/// How long until a command without effect is proposed again.
-const REPEAT: Duration = Duration::from_millis(500);
-/// Settlements are repeated at ever longer distances up to this, so that the end of a cut doesn't
-/// meet a storm of them.
-const SLOWEST: Duration = Duration::from_secs(8);
-/// How many requests are remembered before ended ones are forgotten early.
-const REMEMBERED: usize = 20_000;
-/// How long a settlement is repeated; after that the key becomes spent by its age.
-const PERSIST: Duration = Duration::from_secs(60);
-/// How long a settled request is remembered for late copies of its claim.
-const LINGER: Duration = Duration::from_secs(10);
-
-/// What a claimant guards against. Everything, in production; each switch exists for the test
-/// that shows what its guard is for.
+use super::{Claim, ClaimRequest, Command, Effect, Holder, Input, Output};
+
+/// Delay until a command that has not been applied is proposed again.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Maximum of the exponential backoff for settlements, which avoids a burst of them when a network
+/// partition heals.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(8);
+/// Number of records above which records of ended requests are removed early.
+const MAX_RECORDS: usize = 20_000;
+/// How long a settlement is retried; after that the key becomes spent by its age.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long the record of a settled request is kept for late copies of its claim.
+const SETTLED_RETENTION: Duration = Duration::from_secs(10);
+
+/// Safety checks of a claimant. All are on in production; tests switch one off to show which
+/// failure it prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// A claim is used within the window of its ask only; off, however late.
-    pub fence: bool,
-    /// A request that was told that the node is cut off never uses its claim; off, it does if the
-    /// claim is granted after all.
+    /// A claim is used only before the send deadline; if off, at any time.
+    pub send_deadline: bool,
+    /// A request that was answered [`ClaimAnswer::CutOff`] never uses its claim; if off, it does
+    /// when the claim is granted later.
     pub abandon: bool,
 }
 
 impl Default for Guards {
     fn default() -> Self {
         Self {
-            fence: true,
+            send_deadline: true,
             abandon: true,
         }
     }
@@ -64,25 +64,25 @@
 struct Record {
     service: ServiceId,
     key: Key,
-    /// The last moment to send, by this node's clock.
-    fence: Now,
+    /// The request may be sent only before this time, by this node's clock.
+    send_deadline: Now,
     stage: Stage,
-    /// How long until the next repetition.
-    pause: Duration,
+    /// Delay until the settlement is proposed again.
+    retry_delay: Duration,
     timer: Option<Now>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    Asking { until: Now },
+    Claiming { until: Now },
     Granted,
     Settling { ran: bool, until: Now },
     Settled { ran: bool, until: Now },
 }
 
 impl Claimant {
-    /// A node's claimant. `boot` grows with each start of the node's process; two processes with
-    /// equal numbers could take each other's claims for their own.
+    /// Creates the claimant of a node. `boot` must grow with each start of the node's process:
+    /// processes with equal numbers could use each other's claims.
     pub fn new(node: NodeId, boot: u64) -> Self {
         Self {
             node,
@@ -93,114 +93,114 @@
         }
     }
 
-    /// Sets what is guarded, for tests.
+    /// Sets the safety checks, for tests.
     #[must_use]
     pub fn guards(mut self, guards: Guards) -> Self {
         self.guards = guards;
         self
     }
 
-    /// Takes an event in.
+    /// Handles an event.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Output> {
         match input {
-            Input::Ask(ask) => self.ask(now, ask),
-            Input::Applied { holder, effect } => self.applied(now, holder, effect),
+            Input::Claim(claim) => self.claim(now, claim),
+            Input::Applied { holder, effect } => self.handle_applied(now, holder, effect),
             Input::Settle { request, ran } => self.settle(now, request, ran),
             Input::Tick => self.tick(now),
         }
     }
 
-    /// Whether a request may be sent at this very moment.
+    /// Whether a request may be sent now.
     ///
-    /// To be asked with a fresh clock reading directly before each send, the first and every
-    /// retry: whatever was true before a wait need not be true after it. If it says no, the
-    /// request is not run and is settled so.
+    /// Call this with a fresh clock reading directly before the first send and before every retry:
+    /// the answer may change during a wait. If it is `false`, don't run the request, and settle it
+    /// as not run.
     pub fn may_send(&self, now: Now, request: RequestId) -> bool {
         self.records.get(&request).is_some_and(|record| {
-            let early = now < record.fence || !self.guards.fence;
-            record.stage == Stage::Granted && early
+            let in_time = now < record.send_deadline || !self.guards.send_deadline;
+            record.stage == Stage::Granted && in_time
         })
     }
 
-    /// How many requests are remembered, ended ones included.
+    /// Number of recorded requests, including ended ones.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no request is remembered.
+    /// Whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    fn ask(&mut self, now: Now, ask: Ask) -> Vec<Output> {
+    fn claim(&mut self, now: Now, claim: ClaimRequest) -> Vec<Output> {
         let record = Record {
-            service: ask.service,
-            key: ask.key,
-            fence: now.saturating_add(ask.window),
-            stage: Stage::Asking {
-                until: now.saturating_add(ask.patience.min(ask.window)),
+            service: claim.service,
+            key: claim.key,
+            send_deadline: now.saturating_add(claim.window),
+            stage: Stage::Claiming {
+                until: now.saturating_add(claim.answer_timeout.min(claim.window)),
             },
-            pause: REPEAT,
+            retry_delay: RETRY_DELAY,
             timer: None,
         };
-        self.records.insert(ask.request, record);
-        self.bound();
-        self.arm(now, ask.request);
-        self.propose_claim(ask.request)
+        self.records.insert(claim.request, record);
+        self.evict_ended();
+        self.set_timer(now, claim.request);
+        self.propose_claim(claim.request)
     }
 
-    fn applied(&mut self, now: Now, holder: Holder, effect: Effect) -> Vec<Output> {
+    fn handle_applied(&mut self, now: Now, holder: Holder, effect: Effect) -> Vec<Output> {
         if holder.node != self.node || holder.boot != self.boot {
             return Vec::new();
         }
         match effect {
-            Effect::Claim(answer) => self.answered(now, holder.request, answer),
+            Effect::Claim(answer) => self.handle_answer(now, holder.request, answer),
             Effect::Settle => {
-                self.confirm(now, holder.request);
+                self.confirm_settlement(now, holder.request);
                 Vec::new()
             }
         }
     }
 
-    fn answered(&mut self, now: Now, request: RequestId, answer: ClaimAnswer) -> Vec<Output> {
+    fn handle_answer(&mut self, now: Now, request: RequestId, answer: ClaimAnswer) -> Vec<Output> {
         let Some(record) = self.records.get_mut(&request) else {
             return Vec::new();
         };
         let granted = answer == ClaimAnswer::Granted;
-        let late = self.guards.fence && now >= record.fence;
+        let late = self.guards.send_deadline && now >= record.send_deadline;
         match record.stage {
-            Stage::Asking { .. } if granted && late => self.abandon(now, request),
-            Stage::Asking { .. } => {
+            Stage::Claiming { .. } if granted && late => self.abandon(now, request),
+            Stage::Claiming { .. } => {
                 record.stage = if granted {
                     Stage::Granted
                 } else {
-                    settled(now, false)
+                    settled_stage(now, false)
                 };
-                self.arm(now, request);
+                self.set_timer(now, request);
                 vec![Output::Answer { request, answer }]
             }
             Stage::Granted => Vec::new(),
             // A late copy of the claim was committed after the request had ended.
             Stage::Settling { ran, .. } | Stage::Settled { ran, .. } if granted => {
-                self.end(now, request, ran)
+                self.start_settling(now, request, ran)
             }
             Stage::Settling { .. } | Stage::Settled { .. } => Vec::new(),
         }
     }
 
-    fn confirm(&mut self, now: Now, request: RequestId) {
+    fn confirm_settlement(&mut self, now: Now, request: RequestId) {
         let Some(record) = self.records.get_mut(&request) else {
             return;
         };
         if let Stage::Settling { ran, .. } = record.stage {
-            record.stage = settled(now, ran);
-            self.arm(now, request);
+            record.stage = settled_stage(now, ran);
+            self.set_timer(now, request);
         }
     }
 
     fn settle(&mut self, now: Now, request: RequestId, ran: bool) -> Vec<Output> {
         match self.records.get(&request).map(|record| &record.stage) {
-            Some(Stage::Asking { .. } | Stage::Granted) => self.end(now, request, ran),
+            Some(Stage::Claiming { .. } | Stage::Granted) => self.start_settling(now, request, ran),
             _ => Vec::new(),
         }
     }
@@ -211,26 +211,26 @@
             if due > now {
                 break;
             }
-            outputs.append(&mut self.wake(now, request));
+            outputs.append(&mut self.handle_timer(now, request));
         }
         outputs
     }
 
-    fn wake(&mut self, now: Now, request: RequestId) -> Vec<Output> {
+    fn handle_timer(&mut self, now: Now, request: RequestId) -> Vec<Output> {
         let stage = self
             .records
             .get(&request)
             .map(|record| record.stage.clone());
         match stage {
-            Some(Stage::Asking { until }) if until > now => {
-                self.arm(now, request);
+            Some(Stage::Claiming { until }) if until > now => {
+                self.set_timer(now, request);
                 self.propose_claim(request)
             }
-            Some(Stage::Asking { .. }) => self.abandon(now, request),
+            Some(Stage::Claiming { .. }) => self.abandon(now, request),
             Some(Stage::Settling { ran, until }) if until > now => {
-                self.slow(request);
-                self.arm(now, request);
-                self.propose_end(request, ran)
+                self.back_off(request);
+                self.set_timer(now, request);
+                self.propose_settlement(request, ran)
             }
             _ => {
                 self.forget(request);
@@ -239,14 +239,14 @@
         }
     }
 
-    /// Gives an ask up. The request was never sent and now never will be.
+    /// Abandons a claim. Its request was never sent and never will be.
     fn abandon(&mut self, now: Now, request: RequestId) -> Vec<Output> {
         let mut outputs = Vec::new();
         if self.guards.abandon {
-            outputs = self.end(now, request, false);
+            outputs = self.start_settling(now, request, false);
         } else if let Some(record) = self.records.get_mut(&request) {
-            record.stage = Stage::Asking { until: Now::MAX };
-            self.arm(now, request);
+            record.stage = Stage::Claiming { until: Now::MAX };
+            self.set_timer(now, request);
         }
         outputs.push(Output::Answer {
             request,
@@ -255,25 +255,25 @@
         outputs
     }
 
-    fn end(&mut self, now: Now, request: RequestId, ran: bool) -> Vec<Output> {
+    fn start_settling(&mut self, now: Now, request: RequestId, ran: bool) -> Vec<Output> {
         if let Some(record) = self.records.get_mut(&request) {
-            let until = now.saturating_add(PERSIST);
+            let until = now.saturating_add(SETTLE_TIMEOUT);
             record.stage = Stage::Settling { ran, until };
-            record.pause = REPEAT;
+            record.retry_delay = RETRY_DELAY;
         }
-        self.arm(now, request);
-        self.propose_end(request, ran)
+        self.set_timer(now, request);
+        self.propose_settlement(request, ran)
     }
 
-    /// Sets the timer that the request's stage needs.
-    fn arm(&mut self, now: Now, request: RequestId) {
+    /// Sets the timer for the request's stage.
+    fn set_timer(&mut self, now: Now, request: RequestId) {
         let Some(record) = self.records.get_mut(&request) else {
             return;
         };
         let due = match record.stage {
-            Stage::Asking { until } => Some(until.min(now.saturating_add(REPEAT))),
+            Stage::Claiming { until } => Some(until.min(now.saturating_add(RETRY_DELAY))),
             Stage::Granted => None,
-            Stage::Settling { .. } => Some(now.saturating_add(record.pause)),
+            Stage::Settling { .. } => Some(now.saturating_add(record.retry_delay)),
             Stage::Settled { until, .. } => Some(until),
         };
         if let Some(old) = record.timer {
@@ -285,9 +285,9 @@
         }
     }
 
-    fn slow(&mut self, request: RequestId) {
+    fn back_off(&mut self, request: RequestId) {
         if let Some(record) = self.records.get_mut(&request) {
-            record.pause = (record.pause * 2).min(SLOWEST);
+            record.retry_delay = (record.retry_delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
@@ -299,18 +299,18 @@
     }
 
     fn propose_claim(&self, request: RequestId) -> Vec<Output> {
-        let claim = self.held(request);
+        let claim = self.claim_of(request);
         let command = claim.map(|claim| Output::Propose(Command::Claim(claim)));
         command.into_iter().collect()
     }
 
-    fn propose_end(&self, request: RequestId, ran: bool) -> Vec<Output> {
-        let claim = self.held(request);
+    fn propose_settlement(&self, request: RequestId, ran: bool) -> Vec<Output> {
+        let claim = self.claim_of(request);
         let command = claim.map(|claim| Output::Propose(Command::Settle { claim, ran }));
         command.into_iter().collect()
     }
 
-    fn held(&self, request: RequestId) -> Option<Claim> {
+    fn claim_of(&self, request: RequestId) -> Option<Claim> {
         let record = self.records.get(&request)?;
         let holder = Holder {
             node: self.node,
@@ -324,13 +324,13 @@
         })
     }
 
-    /// Keeps the memory bounded when ends come faster than they are confirmed. A key whose end is
-    /// forgotten becomes spent by its age.
-    fn bound(&mut self) {
-        if self.records.len() <= REMEMBERED {
+    /// Limits memory when requests end faster than their settlements are applied. A key whose
+    /// settlement is dropped becomes spent by its age.
+    fn evict_ended(&mut self) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
-        let mut ended = self.records.iter().filter(|(_, record)| record.ended());
+        let mut ended = self.records.iter().filter(|(_, record)| record.has_ended());
         let oldest = ended.next().map(|(request, _)| *request);
         if let Some(request) = oldest {
             self.forget(request);
@@ -339,12 +339,12 @@
 }
 
 impl Record {
-    fn ended(&self) -> bool {
+    fn has_ended(&self) -> bool {
         matches!(self.stage, Stage::Settling { .. } | Stage::Settled { .. })
     }
 }
 
-fn settled(now: Now, ran: bool) -> Stage {
-    let until = now.saturating_add(LINGER);
+fn settled_stage(now: Now, ran: bool) -> Stage {
+    let until = now.saturating_add(SETTLED_RETENTION);
     Stage::Settled { ran, until }
 }
--- a/src/core/claims/mod.rs
+++ b/src/core/claims/mod.rs
@@ -1,26 +1,27 @@
-//! At most one run for each idempotency key, whichever entry hosts its sends reach.
+//! Runs requests with the same idempotency key at most once, whichever entry hosts receive them.
 //!
-//! A keyed request is sent to a minion only after its node holds the *claim* of the key in the
-//! shared log. The [`Table`] is the log's side: part of the replicated state, changed only by
-//! committed [`Command`]s. The [`Claimant`] is a node's side: it asks, repeats what got lost,
-//! and says at the very moment of sending whether the request may still be sent. [`Answers`]
-//! holds answers for a while, so that a resend hears what the first send was told.
+//! A *send* is one arrival of a request from its caller; a resend is another with the same key. A
+//! node forwards a keyed request to a minion only while it holds the *claim* of the key in the
+//! replicated log. The [`Table`] is part of the replicated state and changes only by committed
+//! [`Command`]s. The [`Claimant`] runs on each node: it proposes claims, retries lost proposals,
+//! and decides directly before sending whether the request may still be sent. The [`AnswerCache`]
+//! keeps answers for a while, so that a resend gets the answer of the first send.
 //!
-//! Four rules carry the promise:
+//! Four rules ensure this:
 //!
-//! 1. Of all sends of a key one holder is granted the claim. A repeated claim of the same holder
-//!    is granted again, so that a lost answer costs nothing.
-//! 2. A claim whose holder falls silent is never free again: once it is too old it is *spent*,
-//!    for the request may have run.
-//! 3. Only the holder itself frees a claim, by saying that the request provably didn't run; what
-//!    an earlier holder says late changes nothing.
-//! 4. A holder sends only within its window, counted by its own clock from before it asked. When
-//!    the table forgets a key, to stay bounded, the window of every send that could have been
-//!    granted it has long passed, even if the sender was frozen.
+//! 1. Of all sends of a key, one holder is granted the claim. A repeated claim of the same holder
+//!    is granted again, so a lost answer does no harm.
+//! 2. A claim whose holder stops responding never becomes free: after a time limit it is *spent*,
+//!    because the request may have run.
+//! 3. Only the current holder frees a claim, by reporting that the request provably didn't run. A
+//!    late report of an earlier holder changes nothing.
+//! 4. A holder sends only within its window, which starts, by its own clock, before it proposes
+//!    the claim. The table removes old keys to stay bounded. By then the window of every send that
+//!    could have been granted the key has long ended, even if the sender's process was paused.
 //!
-//! What is promised: all sends of a key that arrive within [`Terms::horizon`] of the first run at
-//! most once together. A send that is told *not run* was itself not run and never will be; another
-//! send of its key may have been.
+//! The guarantee: all sends of a key that arrive within [`Terms::horizon`] of the first one run at
+//! most once in total. A send that is reported as *not run* has not run and never will; another
+//! send of its key may have run.
 //!
 //! ```
 //! use std::time::Duration;
@@ -46,7 +47,7 @@
 
 mod answers;
 mod claimant;
-mod seam;
+mod interface;
 mod table;
 mod terms;
 
@@ -58,63 +59,63 @@
 };
 
 pub use self::{
-    answers::{Answers, Held},
+    answers::{AnswerCache, Lookup},
     claimant::{Claimant, Guards},
-    seam::{Ask, Effect, Input, Output},
+    interface::{ClaimRequest, Effect, Input, Output},
     table::Table,
-    terms::{LONGEST_KEY, LONGEST_WINDOW, Protections, Terms},
+    terms::{MAX_KEY_BYTES, MAX_WINDOW, Protections, Terms},
 };
 
-/// One send of a request: no two sends ever have equal holders.
+/// Identifies one send of a request; no two sends have equal holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 pub struct Holder {
-    /// The node that it reached.
+    /// The node that received the send.
     pub node: NodeId,
-    /// The start of that node's process; grows with each.
+    /// A number that grows with each start of that node's process.
     pub boot: u64,
-    /// The node's number for it.
+    /// The node's number for the send.
     pub request: RequestId,
 }
 
-/// A key as one send wants or holds it.
+/// A key that one send claims or holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 pub struct Claim {
     /// The send.
     pub holder: Holder,
-    /// Keys are separate for each service.
+    /// The service; each has its own keys.
     pub service: ServiceId,
-    /// The key, as [`scoped`] makes it.
+    /// The key, as returned by [`scoped_key`].
     pub key: Key,
 }
 
-/// What is proposed to the shared log. The state machine stamps it with the leader's time and
-/// looks the service's [`Terms`] up in the declaration. No command expires keys: whatever is
-/// applied brings the leader's time with it, and the state machine expires by that.
+/// A command for the replicated log. The state machine adds the leader's time to it and takes the
+/// service's [`Terms`] from the declaration. There is no command to expire keys: every applied
+/// command carries the leader's time, by which the state machine expires them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 pub enum Command {
-    /// [`Table::claim`].
+    /// Calls [`Table::claim`].
     Claim(Claim),
-    /// [`Table::settle`].
+    /// Calls [`Table::settle`].
     Settle {
-        /// What ended.
+        /// The claim of the request that ended.
         claim: Claim,
         /// Whether the request ran or may have run.
         ran: bool,
     },
 }
 
-/// The key as the claims know it: keys of different caller groups never meet, so that no group
-/// can spend or read another's.
+/// Adds the caller group to a key. Keys of different groups never collide, so no group can spend
+/// the keys of another or read its answers.
 ///
 /// ```
-/// use egretpin::core::claims::scoped;
+/// use egretpin::core::claims::scoped_key;
 ///
-/// assert_ne!(scoped(&"a".into(), &"1".into()), scoped(&"b".into(), &"1".into()));
+/// assert_ne!(scoped_key(&"a".into(), &"1".into()), scoped_key(&"b".into(), &"1".into()));
 /// ```
-pub fn scoped(group: &GroupId, key: &Key) -> Key {
-    // The length keeps ("a:b", "c") and ("a", "b:c") apart.
+pub fn scoped_key(group: &GroupId, key: &Key) -> Key {
+    // The length distinguishes ("a:b", "c") from ("a", "b:c").
     format!("{}:{group}:{key}", group.len()).into()
 }
--- a/src/core/claims/table.rs
+++ b/src/core/claims/table.rs
@@ -1,8 +1,8 @@
-//! The claims as the shared log has them.
+//! The replicated table of claims.
 //!
-//! Deterministic: a table depends on nothing but the operations applied to it, in their order.
-//! Time is the leader's, stamped into each operation, and never goes back: an operation stamped
-//! earlier than one before it counts as made at the same time.
+//! The table is deterministic: it depends only on the operations applied to it and their order.
+//! Each operation carries the leader's time. The table's clock never goes back: an operation with
+//! an earlier time than one before it is applied at the time of that one.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,35 +16,38 @@
     types::{Key, ServiceId, Wall},
 };
 
-use super::{Claim, Holder, LONGEST_KEY, Terms};
+use super::{Claim, Holder, MAX_KEY_BYTES, Terms};
 
-/// All claims of a firm.
+/// All claims of the firm, by service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 pub struct Table {
     clock: Wall,
-    services: BTreeMap<ServiceId, Keys>,
+    services: BTreeMap<ServiceId, ServiceKeys>,
 }
 
 /// The claims of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 #[serde(from = "BTreeMap<Key, Grant>", into = "BTreeMap<Key, Grant>")]
-struct Keys {
+struct ServiceKeys {
     grants: BTreeMap<Key, Grant>,
-    /// When each is forgotten; made again from the grants of an image.
-    ends: BTreeSet<(Wall, Key)>,
+    /// When each key expires; rebuilt from the grants of a snapshot.
+    expiries: BTreeSet<(Wall, Key)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Deserialize, Serialize)]
 struct Grant {
     holder: Holder,
-    /// Until when the request may be running, as far as is known.
-    busy: Wall,
-    /// When the key is forgotten.
-    end: Wall,
-    /// The holder said that the request ran or may have run.
+    /// Until this time another send of the key is told to wait: the request may still be running
+    /// if it was sent within its window.
+    #[serde(rename = "busy")]
+    busy_until: Wall,
+    /// When the key is removed.
+    #[serde(rename = "end")]
+    expires_at: Wall,
+    /// The holder reported that the request ran or may have run.
     settled: bool,
 }
 
@@ -52,80 +55,83 @@
     /// Claims a key for a holder.
     ///
     /// The answer to a repeated claim of a holder that has not settled is [`ClaimAnswer::Granted`]
-    /// again, and the claim gets no older or younger by it.
+    /// again; the repetition doesn't change the claim's time.
     pub fn claim(&mut self, at: Wall, terms: &Terms, claim: &Claim) -> ClaimAnswer {
-        let now = self.advance(at);
+        let now = self.advance_clock(at);
         let keys = self.services.entry(claim.service.clone()).or_default();
-        keys.forget(now);
+        keys.remove_expired(now);
         let answer = keys.claim(now, terms, claim.holder, &claim.key);
-        self.drop_empty(&claim.service);
+        self.remove_if_empty(&claim.service);
         answer
     }
 
-    /// Ends a claim: the key is spent if the request `ran` or may have, and free if it provably
-    /// didn't. Changes nothing if the holder doesn't hold the key.
+    /// Ends a claim. The key becomes spent if the request `ran` or may have run, and free if it
+    /// provably didn't run. Changes nothing if the holder doesn't hold the key.
     pub fn settle(&mut self, at: Wall, terms: &Terms, claim: &Claim, ran: bool) {
-        let now = self.advance(at);
+        let now = self.advance_clock(at);
         if let Some(keys) = self.services.get_mut(&claim.service) {
-            keys.forget(now);
+            keys.remove_expired(now);
             keys.settle(terms, claim.holder, &claim.key, ran);
         }
-        self.drop_empty(&claim.service);
+        self.remove_if_empty(&claim.service);
     }
 
-    /// Forgets keys whose time is over.
+    /// Removes expired keys.
     pub fn expire(&mut self, at: Wall) {
-        let now = self.advance(at);
+        let now = self.advance_clock(at);
         self.services.retain(|_, keys| {
-            keys.forget(now);
+            keys.remove_expired(now);
             !keys.grants.is_empty()
         });
     }
 
-    /// When [`Self::expire`] next has something to forget.
-    pub fn due(&self) -> Option<Wall> {
-        let ends = self.services.values().filter_map(|keys| keys.ends.first());
-        ends.map(|(end, _)| *end).min()
+    /// When the next key expires.
+    pub fn next_expiry(&self) -> Option<Wall> {
+        let expiries = self
+            .services
+            .values()
+            .filter_map(|keys| keys.expiries.first());
+        expiries.map(|(expires_at, _)| *expires_at).min()
     }
 
-    /// How many keys of a service are held.
+    /// Number of keys in the table for a service.
     pub fn len(&self, service: &ServiceId) -> usize {
         let keys = self.services.get(service);
         keys.map_or(0, |keys| keys.grants.len())
     }
 
-    /// Whether no key is held.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
 
-    fn advance(&mut self, at: Wall) -> Wall {
+    fn advance_clock(&mut self, at: Wall) -> Wall {
         self.clock = self.clock.max(at);
         self.clock
     }
 
-    fn drop_empty(&mut self, service: &ServiceId) {
+    fn remove_if_empty(&mut self, service: &ServiceId) {
         if self.len(service) == 0 {
             self.services.remove(service);
         }
     }
 }
 
-impl Keys {
+impl ServiceKeys {
     fn claim(&mut self, now: Wall, terms: &Terms, holder: Holder, key: &Key) -> ClaimAnswer {
         if let Some(grant) = self.grants.get(key) {
             let answer = grant.answer(now, holder);
-            let lapsed = answer == ClaimAnswer::Spent && !grant.settled;
-            if !lapsed || terms.protections.spend {
+            let is_stale = answer == ClaimAnswer::Spent && !grant.settled;
+            if !is_stale || terms.protections.spend_stale {
                 return answer;
             }
             self.remove(key);
         }
-        if key.len() > LONGEST_KEY || self.grants.len() >= terms.keys as usize {
+        if key.len() > MAX_KEY_BYTES || self.grants.len() >= terms.max_keys as usize {
             return ClaimAnswer::Full;
         }
         let grant = Grant::new(now, terms, holder);
-        self.ends.insert((grant.end, key.clone()));
+        self.expiries.insert((grant.expires_at, key.clone()));
         self.grants.insert(key.clone(), grant);
         ClaimAnswer::Granted
     }
@@ -134,7 +140,7 @@
         let Some(grant) = self.grants.get_mut(key) else {
             return;
         };
-        if terms.protections.owner && grant.holder != holder {
+        if terms.protections.holder_only && grant.holder != holder {
             return;
         }
         if ran {
@@ -146,13 +152,17 @@
 
     fn remove(&mut self, key: &Key) {
         if let Some(grant) = self.grants.remove(key) {
-            self.ends.remove(&(grant.end, key.clone()));
+            self.expiries.remove(&(grant.expires_at, key.clone()));
         }
     }
 
-    fn forget(&mut self, now: Wall) {
-        while self.ends.first().is_some_and(|(end, _)| *end <= now) {
-            if let Some((_, key)) = self.ends.pop_first() {
+    fn remove_expired(&mut self, now: Wall) {
+        while self
+            .expiries
+            .first()
+            .is_some_and(|(expires_at, _)| *expires_at <= now)
+        {
+            if let Some((_, key)) = self.expiries.pop_first() {
                 self.grants.remove(&key);
             }
         }
@@ -161,17 +171,17 @@
 
 impl Grant {
     fn new(now: Wall, terms: &Terms, holder: Holder) -> Self {
-        let busy = terms.window.saturating_add(terms.run);
+        let busy = terms.window.saturating_add(terms.max_run);
         Self {
             holder,
-            busy: now.saturating_add(busy),
-            end: now.saturating_add(terms.keep),
+            busy_until: now.saturating_add(busy),
+            expires_at: now.saturating_add(terms.retention),
             settled: false,
         }
     }
 
     fn answer(&self, now: Wall, holder: Holder) -> ClaimAnswer {
-        let after = self.busy.saturating_sub(now);
+        let after = self.busy_until.saturating_sub(now);
         if self.settled {
             ClaimAnswer::Spent
         } else if self.holder == holder {
@@ -184,18 +194,18 @@
     }
 }
 
-impl From<BTreeMap<Key, Grant>> for Keys {
+impl From<BTreeMap<Key, Grant>> for ServiceKeys {
     fn from(grants: BTreeMap<Key, Grant>) -> Self {
-        let ends = grants
+        let expiries = grants
             .iter()
-            .map(|(key, grant)| (grant.end, key.clone()))
+            .map(|(key, grant)| (grant.expires_at, key.clone()))
             .collect();
-        Self { grants, ends }
+        Self { grants, expiries }
     }
 }
 
-impl From<Keys> for BTreeMap<Key, Grant> {
-    fn from(keys: Keys) -> Self {
+impl From<ServiceKeys> for BTreeMap<Key, Grant> {
+    fn from(keys: ServiceKeys) -> Self {
         keys.grants
     }
 }
--- a/src/core/dispatch/ending.rs
+++ b/src/core/dispatch/ending.rs
@@ -9,7 +9,7 @@
     timers::Due,
 };
 use crate::core::{
-    claims::scoped,
+    claims::scoped_key,
     outcome::{NotRun, Outcome, Retry},
     types::Now,
 };
@@ -172,7 +172,7 @@
 
     pub(super) fn settle(&mut self, request: &Request, ran: bool) {
         if let Some(key) = &request.arrival.key {
-            let key = scoped(&request.arrival.group, key);
+            let key = scoped_key(&request.arrival.group, key);
             self.out.push(Output::Settle {
                 request: request.arrival.request,
                 service: request.arrival.service.clone(),
--- a/src/core/dispatch/intake.rs
+++ b/src/core/dispatch/intake.rs
@@ -10,7 +10,7 @@
 };
 use crate::core::{
     admission::{Refusal, Ticket, Verdict},
-    claims::{LONGEST_WINDOW, scoped},
+    claims::{MAX_WINDOW, scoped_key},
     outcome::{NotRun, Outcome, Unknown},
     routing::minions::Avoid,
     types::{Now, ServiceId},
@@ -134,7 +134,7 @@
         let keyed = arrival.key.is_some() && !arrival.spilled;
         if keyed {
             // Nothing may be sent on a claim once its window has passed.
-            patience = patience.min(LONGEST_WINDOW);
+            patience = patience.min(MAX_WINDOW);
         }
         Request {
             arrival,
@@ -167,7 +167,7 @@
         self.out.push(Output::Claim {
             request: id,
             service: request.arrival.service.clone(),
-            key: scoped(&request.arrival.group, key),
+            key: scoped_key(&request.arrival.group, key),
         });
     }
 
--- a/src/core/dispatch/seam.rs
+++ b/src/core/dispatch/seam.rs
@@ -196,7 +196,7 @@
         request: RequestId,
         /// Its service; keys are separate for each.
         service: ServiceId,
-        /// The key, as [`scoped`](crate::core::claims::scoped) makes it.
+        /// The key, as [`scoped_key`](crate::core::claims::scoped_key) makes it.
         key: Key,
     },
     /// Tell the shared log how a request ended whose key was asked for, whatever the answer was
--- a/src/node/keys.rs
+++ b/src/node/keys.rs
@@ -8,7 +8,9 @@
 use crate::{
     adapters::callers::{Answer, Call},
     core::{
-        claims::{Answers, Ask, Claimant, Effect, Held, Holder, Input, LONGEST_WINDOW, Output},
+        claims::{
+            AnswerCache, ClaimRequest, Claimant, Effect, Holder, Input, Lookup, MAX_WINDOW, Output,
+        },
         dispatch::{ClaimAnswer, RequestId},
         state::{Body, Event},
         types::{Key, Map, NodeId, Now, ServiceId},
@@ -36,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct Keys {
     claimant: Claimant,
-    answers: Answers<Answer>,
+    answers: AnswerCache<Answer>,
     open: Map<RequestId, Keyed>,
     control: Control,
 }
@@ -53,7 +55,7 @@
     pub(crate) fn new(node: NodeId, boot: u64, control: Control) -> Self {
         Self {
             claimant: Claimant::new(node, boot),
-            answers: Answers::new(ANSWERS),
+            answers: AnswerCache::new(ANSWERS),
             open: Map::default(),
             control,
         }
@@ -68,7 +70,7 @@
         window: Duration,
     ) -> Claimed {
         let fingerprint = fingerprint(call);
-        if let Held::Answer(answer) = self.answers.get(&service, &key, fingerprint) {
+        if let Lookup::Hit(answer) = self.answers.get(&service, &key, fingerprint) {
             return Claimed::Known(answer.clone());
         }
         let keyed = Keyed {
@@ -77,15 +79,15 @@
             fingerprint,
         };
         self.open.insert(request, keyed);
-        let ask = Ask {
+        let claim = ClaimRequest {
             request,
             service,
             key,
-            window: window.min(LONGEST_WINDOW),
-            patience: PATIENCE,
+            window: window.min(MAX_WINDOW),
+            answer_timeout: PATIENCE,
         };
         // The log can't have answered yet, so there is nothing but proposals.
-        let _ = self.step(now, Input::Ask(ask));
+        let _ = self.step(now, Input::Claim(claim));
         Claimed::Asked
     }
 
@@ -129,7 +131,7 @@
             .sum();
         let size = head + answer.body.len();
         self.answers
-            .put(&keyed.service, &keyed.key, keyed.fingerprint, answer, size);
+            .insert(&keyed.service, &keyed.key, keyed.fingerprint, answer, size);
     }
 
     /// How many keyed requests are remembered.
--- a/tests/claims/check.rs
+++ b/tests/claims/check.rs
@@ -1,26 +1,32 @@
-//! The claims explored, and what each protection is for.
+//! Explores all states of small models of the claims, and shows which failure each safety rule
+//! prevents.
 //!
-//! `stateright` can't be had; `pathfinding`'s breadth-first search is its nearest kin.
+//! The model checker `stateright` isn't available, so the search is `pathfinding`'s breadth-first
+//! search.
 
 use egretpin::core::claims::Guards;
 
-use crate::model::{Found, Scope, Told};
+use crate::model::{Findings, Outcome, Scope};
 
-fn whole(scope: &Scope, told: &[Told]) -> Found {
+fn assert_holds(scope: &Scope, outcomes: &[Outcome]) -> Findings {
     let found = scope.explore();
     println!("{} states: {scope:?}", found.states);
-    assert!(!found.twice && !found.lied, "{found:?}");
-    for told in told {
-        assert!(found.answers.contains(told), "never told {told:?}");
+    assert!(!found.ran_twice && !found.false_refusal, "{found:?}");
+    for outcome in outcomes {
+        assert!(
+            found.outcomes.contains(outcome),
+            "no send was told {outcome:?}"
+        );
     }
     found
 }
 
-/// Each protection is shown to be needed where the whole protocol was shown to hold.
-fn broken(scope: &Scope) -> Found {
+/// Shows that the model fails without a safety rule. The scope differs only by that rule from one
+/// in which the whole protocol holds.
+fn assert_fails(scope: &Scope) -> Findings {
     let found = scope.explore();
     println!("violated after {} states: {scope:?}", found.states);
-    assert!(found.twice || found.lied, "{found:?}");
+    assert!(found.ran_twice || found.false_refusal, "{found:?}");
     found
 }
 
@@ -33,17 +39,17 @@
     }
 }
 
-/// The leader changes; the next one's clock is ahead, and what was not committed may be lost.
+/// The leader changes; the next leader's clock is ahead, and uncommitted commands may be lost.
 fn election() -> Scope {
     Scope {
-        leaders: 1,
+        elections: 1,
         time: 3,
         ..Scope::new()
     }
 }
 
-/// A send may be sent for longer than its node waits for the claim.
-fn patient() -> Scope {
+/// The send window is longer than the node waits for the claim's answer.
+fn long_window() -> Scope {
     Scope {
         window: 2,
         time: 2,
@@ -51,8 +57,8 @@
     }
 }
 
-/// The caller sends a third time.
-fn insistent() -> Scope {
+/// A key is sent three times.
+fn three_sends() -> Scope {
     Scope {
         sends: 3,
         time: 1,
@@ -60,95 +66,103 @@
     }
 }
 
-/// Two keys, and room for one.
-fn crowded() -> Scope {
+/// Two keys are used, but the table has capacity for one.
+fn full_table() -> Scope {
     Scope {
         keys: 2,
         sends: 3,
-        room: 1,
+        capacity: 1,
         time: 0,
         ..Scope::new()
     }
 }
 
 #[test]
-fn a_key_runs_at_most_once_though_a_node_dies() {
-    let told = [
-        Told::Answered,
-        Told::NotRun,
-        Told::Busy,
-        Told::CutOff,
-        Told::Unknown,
+fn a_key_runs_at_most_once_if_a_node_crashes() {
+    let outcomes = [
+        Outcome::Answered,
+        Outcome::NotRun,
+        Outcome::Busy,
+        Outcome::CutOff,
+        Outcome::Unknown,
     ];
-    let found = whole(&crash(), &told);
+    let found = assert_holds(&crash(), &outcomes);
     assert!(found.states > 10_000);
 }
 
 #[test]
-fn a_key_runs_at_most_once_though_the_leader_changes() {
-    let found = whole(&election(), &[Told::Answered, Told::Busy, Told::CutOff]);
+fn a_key_runs_at_most_once_if_the_leader_changes() {
+    let found = assert_holds(
+        &election(),
+        &[Outcome::Answered, Outcome::Busy, Outcome::CutOff],
+    );
     assert!(found.states > 10_000);
 }
 
 #[test]
 fn a_key_sent_three_times_runs_at_most_once() {
-    whole(
-        &insistent(),
-        &[Told::Answered, Told::NotRun, Told::Busy, Told::Unknown],
+    assert_holds(
+        &three_sends(),
+        &[
+            Outcome::Answered,
+            Outcome::NotRun,
+            Outcome::Busy,
+            Outcome::Unknown,
+        ],
     );
 }
 
 #[test]
-fn a_send_given_up_before_its_window_ends_never_runs() {
-    whole(&patient(), &[Told::Answered, Told::CutOff]);
+fn a_send_abandoned_before_its_window_ends_never_runs() {
+    assert_holds(&long_window(), &[Outcome::Answered, Outcome::CutOff]);
 }
 
 #[test]
-fn each_of_two_keys_runs_at_most_once_where_one_has_room() {
-    whole(&crowded(), &[Told::Answered, Told::Full]);
+fn each_of_two_keys_runs_at_most_once_if_the_table_has_capacity_for_one() {
+    assert_holds(&full_table(), &[Outcome::Answered, Outcome::Full]);
 }
 
 #[test]
 fn without_claims_a_key_runs_twice() {
     let off = Scope {
-        claimed: false,
+        use_claims: false,
         ..crash()
     };
-    assert!(broken(&off).twice);
+    assert!(assert_fails(&off).ran_twice);
 }
 
 #[test]
-fn without_the_fence_a_node_that_wakes_late_runs_a_key_again() {
+fn without_the_send_deadline_a_node_that_resumes_late_runs_a_key_again() {
     let guards = Guards {
-        fence: false,
+        send_deadline: false,
         ..Guards::default()
     };
-    assert!(broken(&Scope { guards, ..crash() }).twice);
+    assert!(assert_fails(&Scope { guards, ..crash() }).ran_twice);
     assert!(
-        broken(&Scope {
+        assert_fails(&Scope {
             guards,
             ..election()
         })
-        .twice
+        .ran_twice
     );
 }
 
 #[test]
-fn if_old_claims_became_free_a_key_would_run_twice() {
+fn if_stale_claims_became_free_a_key_would_run_twice() {
     let off = Scope {
-        spend: false,
+        spend_stale: false,
         ..crash()
     };
-    assert!(broken(&off).twice);
+    assert!(assert_fails(&off).ran_twice);
 }
 
 #[test]
 fn if_anyone_could_settle_a_key_would_run_twice() {
     let off = Scope {
-        owner: false,
-        ..insistent()
+        holder_only: false,
+        ..three_sends()
     };
-    assert!(broken(&off).twice);
+    assert!(assert_fails(&off).ran_twice);
 }
 
 #[test]
@@ -158,10 +172,10 @@
         ..Guards::default()
     };
     assert!(
-        broken(&Scope {
+        assert_fails(&Scope {
             guards,
-            ..patient()
+            ..long_window()
         })
-        .lied
+        .false_refusal
     );
 }
--- a/tests/claims/differential.rs
+++ b/tests/claims/differential.rs
@@ -1,4 +1,5 @@
-//! The table answers as one that knows nothing but the history of its operations.
+//! Compares the table with a simple model that keeps every grant and computes each answer from
+//! them.
 
 use std::time::Duration;
 
@@ -14,10 +15,10 @@
     Claim(Claim),
     Settle(Claim, bool),
     Expire,
-    /// The stamps go on by so many seconds, or back: a new leader's clock is behind.
-    Pass(i64),
-    /// The table is written into an image and read back.
-    Image,
+    /// The leader's time moves by this many seconds; backwards if a new leader's clock is behind.
+    Advance(i64),
+    /// The table is written to a snapshot and read back.
+    Snapshot,
 }
 
 /// Every grant ever made, in order.
@@ -35,18 +36,18 @@
 }
 
 impl Naive {
-    fn live(&mut self, terms: &Terms, claim: &Claim) -> Option<&mut Grant> {
+    fn live_grant(&mut self, terms: &Terms, claim: &Claim) -> Option<&mut Grant> {
         let clock = self.clock;
         let mut grants = self.grants.iter_mut().rev();
         grants.find(|grant| {
             let same = (&grant.claim.service, &grant.claim.key) == (&claim.service, &claim.key);
-            same && !grant.freed && clock < grant.at + terms.keep
+            same && !grant.freed && clock < grant.at + terms.retention
         })
     }
 
-    fn count(&self, terms: &Terms, claim: &Claim) -> usize {
+    fn live_count(&self, terms: &Terms, claim: &Claim) -> usize {
         let live = self.grants.iter().filter(|grant| {
-            let kept = !grant.freed && self.clock < grant.at + terms.keep;
+            let kept = !grant.freed && self.clock < grant.at + terms.retention;
             kept && grant.claim.service == claim.service
         });
         live.count()
@@ -55,8 +56,8 @@
     fn claim(&mut self, at: Wall, terms: &Terms, claim: &Claim) -> ClaimAnswer {
         self.clock = self.clock.max(at);
         let clock = self.clock;
-        if let Some(grant) = self.live(terms, claim) {
-            let busy = grant.at + terms.window + terms.run;
+        if let Some(grant) = self.live_grant(terms, claim) {
+            let busy = grant.at + terms.window + terms.max_run;
             return match grant {
                 Grant { settled: true, .. } => ClaimAnswer::Spent,
                 grant if grant.claim.holder == claim.holder => ClaimAnswer::Granted,
@@ -66,7 +67,7 @@
                 _ => ClaimAnswer::Spent,
             };
         }
-        if self.count(terms, claim) >= terms.keys as usize {
+        if self.live_count(terms, claim) >= terms.max_keys as usize {
             return ClaimAnswer::Full;
         }
         self.grants.push(Grant {
@@ -80,7 +81,7 @@
 
     fn settle(&mut self, at: Wall, terms: &Terms, claim: &Claim, ran: bool) {
         self.clock = self.clock.max(at);
-        let Some(grant) = self.live(terms, claim) else {
+        let Some(grant) = self.live_grant(terms, claim) else {
             return;
         };
         if grant.claim.holder == claim.holder {
@@ -107,8 +108,8 @@
         6 => claim().prop_map(Op::Claim),
         4 => (claim(), any::<bool>()).prop_map(|(claim, ran)| Op::Settle(claim, ran)),
         1 => Just(Op::Expire),
-        4 => (-3..15_i64).prop_map(Op::Pass),
-        1 => Just(Op::Image),
+        4 => (-3..15_i64).prop_map(Op::Advance),
+        1 => Just(Op::Snapshot),
     ]
 }
 
@@ -121,8 +122,10 @@
     })]
 
     #[test]
-    fn the_table_answers_as_its_history_does(ops in prop::collection::vec(op(), 1..80)) {
-        let terms = Terms::new(Duration::from_secs(5)).keep(Duration::from_secs(30)).keys(3);
+    fn the_table_agrees_with_a_model_of_its_history(ops in prop::collection::vec(op(), 1..80)) {
+        let terms = Terms::new(Duration::from_secs(5))
+            .retention(Duration::from_secs(30))
+            .max_keys(3);
         let mut real = Table::default();
         let mut naive = Naive::default();
         let mut at = Wall::from_secs(100);
@@ -131,7 +134,7 @@
                 Op::Claim(claim) => {
                     let answer = real.claim(at, &terms, &claim);
                     prop_assert_eq!(answer, naive.claim(at, &terms, &claim));
-                    prop_assert_eq!(real.len(&claim.service), naive.count(&terms, &claim));
+                    prop_assert_eq!(real.len(&claim.service), naive.live_count(&terms, &claim));
                 }
                 Op::Settle(claim, ran) => {
                     real.settle(at, &terms, &claim, ran);
@@ -140,18 +143,18 @@
                 Op::Expire => {
                     real.expire(at);
                     naive.clock = naive.clock.max(at);
-                    prop_assert!(real.due().is_none_or(|due| due > naive.clock));
+                    prop_assert!(real.next_expiry().is_none_or(|due| due > naive.clock));
                 }
-                Op::Pass(seconds) => {
+                Op::Advance(seconds) => {
                     let step = Duration::from_secs(seconds.unsigned_abs());
                     at = if seconds < 0 { at.saturating_sub(step) } else { at + step };
                 }
-                Op::Image => {
-                    let mut image = Vec::new();
-                    ciborium::into_writer(&real, &mut image).unwrap();
-                    let read: Table = ciborium::from_reader(&image[..]).unwrap();
-                    prop_assert_eq!(&read, &real);
-                    real = read;
+                Op::Snapshot => {
+                    let mut snapshot = Vec::new();
+                    ciborium::into_writer(&real, &mut snapshot).unwrap();
+                    let restored: Table = ciborium::from_reader(&snapshot[..]).unwrap();
+                    prop_assert_eq!(&restored, &real);
+                    real = restored;
                 }
             }
         }
--- a/tests/claims/main.rs
+++ b/tests/claims/main.rs
@@ -1,4 +1,4 @@
-//! Claims: at most one run for each key.
+//! Tests of the claims of idempotency keys, which make each key run at most once.
 
 mod check;
 mod differential;
--- a/tests/claims/model.rs
+++ b/tests/claims/model.rs
@@ -1,17 +1,19 @@
-//! A small world around the real claims: two nodes, a log that puts commands into one order, and
-//! a network that delivers each message any number of times, in any order, or never.
+//! A model around the real claims code: two nodes, a log that orders commands, and a network that
+//! delivers each message any number of times, in any order, or never.
 //!
-//! A node that does nothing for a while is frozen, and wakes late: every step of a node may come
-//! at any later time. One unit of time is [`UNIT`].
+//! Every step of a node may happen at any later time, which models a process that is paused and
+//! resumes late. One unit of time is [`UNIT`].
 //!
-//! To keep the number of states down, messages and effects are sets of bits by send and kind, and
-//! a node never hears that its settlement was applied. It would only stop repeating it, which the
-//! network does anyway.
+//! To reduce the number of states, messages and effects are bit sets by send and kind, and a node
+//! is never notified that its settlement was applied. It would only stop proposing it again, and
+//! the network repeats the proposal anyway.
 
 use std::{collections::BTreeSet, mem::discriminant, time::Duration};
 
 use egretpin::core::{
-    claims::{Ask, Claim, Claimant, Command, Effect, Guards, Holder, Input, Output, Table, Terms},
+    claims::{
+        Claim, ClaimRequest, Claimant, Command, Effect, Guards, Holder, Input, Output, Table, Terms,
+    },
     dispatch::ClaimAnswer,
     types::{NodeId, Now},
 };
@@ -19,42 +21,42 @@
 
 const UNIT: Duration = Duration::from_secs(5);
 
-/// What is explored, and what is switched off.
+/// The limits of the search, and the safety rules that are on.
 #[derive(Clone, Debug)]
 pub(crate) struct Scope {
-    /// Keys used; the callers send each at any node.
+    /// Number of keys; callers send each of them to any node.
     pub(crate) keys: u8,
-    /// Sends altogether.
+    /// Number of sends of all keys together.
     pub(crate) sends: usize,
     pub(crate) crashes: u8,
-    /// Changes of leader; the next leader's clock is one unit ahead.
-    pub(crate) leaders: u8,
-    /// Units of time.
+    /// Changes of leader; each next leader's clock is one unit ahead.
+    pub(crate) elections: u8,
+    /// Units of time to explore.
     pub(crate) time: u32,
-    /// Units of time that a send may be sent after it arrived.
+    /// Units of time after its arrival in which a send may be sent to a minion.
     pub(crate) window: u32,
-    /// Keys that the table has room for.
-    pub(crate) room: u32,
-    pub(crate) claimed: bool,
+    /// Maximum number of keys in the table.
+    pub(crate) capacity: u32,
+    pub(crate) use_claims: bool,
     pub(crate) guards: Guards,
-    pub(crate) spend: bool,
-    pub(crate) owner: bool,
+    pub(crate) spend_stale: bool,
+    pub(crate) holder_only: bool,
 }
 
-/// What the search found.
+/// The results of the search.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct Findings {
     pub(crate) states: usize,
-    /// Some key ran twice.
-    pub(crate) twice: bool,
-    /// A send ran that was told it was not run.
-    pub(crate) lied: bool,
-    /// How often sends were told each thing, over all states.
-    pub(crate) answers: BTreeSet<Told>,
+    /// A key ran twice.
+    pub(crate) ran_twice: bool,
+    /// A send ran although its caller was told that it didn't run.
+    pub(crate) false_refusal: bool,
+    /// The outcomes that callers were told in any state.
+    pub(crate) outcomes: BTreeSet<Outcome>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum Told {
+pub(crate) enum Outcome {
     Answered,
     NotRun,
     Busy,
@@ -64,42 +66,42 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Send {
+struct SendRecord {
     key: u8,
     holder: Holder,
-    /// The node holds the claim and may turn to sending.
+    /// The node may send the request: its claim was granted, if claims are used.
     ready: bool,
     ran: bool,
-    told: Option<Told>,
+    outcome: Option<Outcome>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     time: u32,
     table: Table,
-    /// Bits of [`Sent`] by send: what a node has proposed.
+    /// Kinds of commands by send that a node has proposed.
     network: Bits,
-    /// Stamped by the leader and not yet committed.
+    /// A command with the leader's time that is not yet committed: time, send, kind.
     pending: Option<(Duration, usize, u32)>,
-    /// Bits of [`ANSWERS`] by send: what its node may hear.
+    /// Indexes of [`ANSWERS`] by send that its node may receive.
     effects: Bits,
     nodes: [Claimant; 2],
     boots: [u64; 2],
-    sends: Vec<Send>,
+    sends: Vec<SendRecord>,
     crashes: u8,
-    leaders: u8,
+    elections: u8,
 }
 
 /// A set of small numbers for each send.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Bits(u32);
 
-/// The kinds of commands.
+/// Kinds of commands.
 const CLAIM: u32 = 0;
 const RAN: u32 = 1;
 const NOT_RUN: u32 = 2;
 
-/// The answers to a claim, by the number of their bit.
+/// The answers to a claim; the index is the bit in [`State::effects`].
 const ANSWERS: [ClaimAnswer; 4] = [
     ClaimAnswer::Granted,
     ClaimAnswer::Busy { after: UNIT },
@@ -108,52 +110,53 @@
 ];
 
 impl Scope {
-    /// One key, two sends and no failure but the network's; everything protected.
+    /// One key, two sends, only network failures, and all safety rules on.
     pub(crate) fn new() -> Self {
         Self {
             keys: 1,
             sends: 2,
             crashes: 0,
-            leaders: 0,
+            elections: 0,
             time: 3,
             window: 1,
-            room: 2,
-            claimed: true,
+            capacity: 2,
+            use_claims: true,
             guards: Guards::default(),
-            spend: true,
-            owner: true,
+            spend_stale: true,
+            holder_only: true,
         }
     }
 
     fn terms(&self) -> Terms {
-        let mut terms = Terms::new(UNIT * self.window).keys(self.room);
-        terms.run = Duration::ZERO;
-        terms.keep = 3 * UNIT;
-        terms.protections.spend = self.spend;
-        terms.protections.owner = self.owner;
+        let mut terms = Terms::new(UNIT * self.window).max_keys(self.capacity);
+        terms.max_run = Duration::ZERO;
+        terms.retention = 3 * UNIT;
+        terms.protections.spend_stale = self.spend_stale;
+        terms.protections.holder_only = self.holder_only;
         terms
     }
 
-    /// Until when sends are covered by the promise: leaders' clocks that differ take from it.
+    /// The time until which the guarantee covers sends. Differences between leaders' clocks shorten
+    /// it.
     fn horizon(&self) -> Now {
-        self.terms().horizon() - UNIT * u32::from(self.leaders)
+        self.terms().horizon() - UNIT * u32::from(self.elections)
     }
 
     fn claimant(&self, node: NodeId, boot: u64) -> Claimant {
         Claimant::new(node, boot).guards(self.guards)
     }
 
-    /// Explores until a violation is found or everything has been seen.
-    pub(crate) fn explore(&self) -> Found {
-        let mut found = Found::default();
+    /// Searches until a violation is found or all states have been visited.
+    pub(crate) fn explore(&self) -> Findings {
+        let mut found = Findings::default();
         for state in bfs_reach(self.start(), |state| self.successors(state)) {
             found.states += 1;
-            found.lied |= state.sends.iter().any(Send::lied);
-            found.twice |= (0..self.keys).any(|key| state.runs(key) > 1);
+            found.false_refusal |= state.sends.iter().any(SendRecord::is_false_refusal);
+            found.ran_twice |= (0..self.keys).any(|key| state.run_count(key) > 1);
             found
-                .answers
-                .extend(state.sends.iter().filter_map(|send| send.told));
-            if found.lied || found.twice {
+                .outcomes
+                .extend(state.sends.iter().filter_map(|send| send.outcome));
+            if found.false_refusal || found.ran_twice {
                 break;
             }
         }
@@ -171,20 +174,25 @@
             boots: [0; 2],
             sends: Vec::new(),
             crashes: self.crashes,
-            leaders: self.leaders,
+            elections: self.elections,
         }
     }
 
     fn successors(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
         let more = state.sends.len() < self.sends && state.now() < self.horizon();
-        if !more && state.sends.iter().all(|send| send.over(&state.boots)) {
-            // Nothing can be sent any more.
+        if !more
+            && state
+                .sends
+                .iter()
+                .all(|send| send.is_finished(&state.boots))
+        {
+            // No send can still run.
             return next;
         }
         if state.time < self.time {
             for awake in [[true, true], [true, false], [false, true], [false, false]] {
-                next.push(state.but(|next| next.pass(awake)));
+                next.push(state.with(|next| next.advance(awake)));
             }
         }
         for node in 0..2 {
@@ -195,78 +203,78 @@
                     .iter()
                     .any(|send| send.holder.node == node as NodeId)
             {
-                next.push(state.but(|next| next.crash(node, self)));
+                next.push(state.with(|next| next.crash(node, self)));
             }
         }
-        for place in 0..state.sends.len() {
-            next.extend(self.sendings(state, place));
+        for index in 0..state.sends.len() {
+            next.extend(self.send_steps(state, index));
         }
-        next.extend(self.log(state));
-        for (place, answer) in state.effects.iter() {
-            next.push(state.but(|next| next.hear(place, &ANSWERS[answer as usize])));
+        next.extend(self.log_steps(state));
+        for (index, answer) in state.effects.iter() {
+            next.push(state.with(|next| next.deliver_answer(index, &ANSWERS[answer as usize])));
         }
         next.retain(|next| next != state);
         next
     }
 
-    /// A caller sends a key, early enough for the promise to cover it.
+    /// The states after a caller sends a key, early enough to be covered by the guarantee.
     fn arrivals(&self, state: &State, node: usize) -> Vec<State> {
-        // The nodes are alike, and nothing happens before the first send.
-        let twin = state.sends.is_empty() && (node > 0 || state.time > 0);
-        if twin || state.sends.len() == self.sends || state.now() >= self.horizon() {
+        // The nodes are interchangeable, and nothing happens before the first send.
+        let is_symmetric = state.sends.is_empty() && (node > 0 || state.time > 0);
+        if is_symmetric || state.sends.len() == self.sends || state.now() >= self.horizon() {
             return Vec::new();
         }
         let keys = 0..self.keys;
-        keys.map(|key| state.but(|next| next.arrive(node, key, self)))
+        keys.map(|key| state.with(|next| next.arrive(node, key, self)))
             .collect()
     }
 
-    /// What may happen to a send that its node turns to.
-    fn sendings(&self, state: &State, place: usize) -> Vec<State> {
-        let send = &state.sends[place];
+    /// The states after a node handles a send that was granted its key.
+    fn send_steps(&self, state: &State, index: usize) -> Vec<State> {
+        let send = &state.sends[index];
         if !send.ready {
             return Vec::new();
         }
         let node = send.holder.node as usize;
         let allowed = state.nodes[node].may_send(state.now(), send.holder.request);
-        if self.claimed && !allowed {
-            return vec![state.but(|next| next.end(place, Told::NotRun))];
+        if self.use_claims && !allowed {
+            return vec![state.with(|next| next.end_send(index, Outcome::NotRun))];
         }
         vec![
-            state.but(|next| {
-                next.sends[place].ran = true;
-                next.sends[place].ready = false;
+            state.with(|next| {
+                next.sends[index].ran = true;
+                next.sends[index].ready = false;
             }),
-            state.but(|next| {
-                next.sends[place].ran = true;
-                next.end(place, Told::Answered);
+            state.with(|next| {
+                next.sends[index].ran = true;
+                next.end_send(index, Outcome::Answered);
             }),
-            // The minion refuses before running.
-            state.but(|next| next.end(place, Told::NotRun)),
+            // The minion refuses the request before running it.
+            state.with(|next| next.end_send(index, Outcome::NotRun)),
         ]
     }
 
-    /// What may happen in the log.
-    fn log(&self, state: &State) -> Vec<State> {
+    /// The states after a step of the log.
+    fn log_steps(&self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
         if state.pending.is_none() {
-            for (place, kind) in state.network.iter() {
-                let ahead = UNIT * u32::from(self.leaders - state.leaders);
+            for (index, kind) in state.network.iter() {
+                let ahead = UNIT * u32::from(self.elections - state.elections);
                 let at = state.now() + ahead;
-                next.push(state.but(|next| {
-                    next.pending = Some((at, place, kind));
-                    if self.leaders == 0 {
+                next.push(state.with(|next| {
+                    next.pending = Some((at, index, kind));
+                    if self.elections == 0 {
                         next.commit(&self.terms());
                     }
                 }));
             }
             return next;
         }
-        next.push(state.but(|next| next.commit(&self.terms())));
-        if state.leaders > 0 {
-            next.push(state.but(|next| next.leaders -= 1));
-            next.push(state.but(|next| {
-                next.leaders -= 1;
+        next.push(state.with(|next| next.commit(&self.terms())));
+        if state.elections > 0 {
+            next.push(state.with(|next| next.elections -= 1));
+            next.push(state.with(|next| {
+                next.elections -= 1;
                 next.pending = None;
             }));
         }
@@ -274,24 +282,32 @@
     }
 }
 
-impl Send {
-    /// Whether it can't be sent any more and its caller can't be told anything else.
-    fn over(&self, boots: &[u64; 2]) -> bool {
+impl SendRecord {
+    /// Whether the send can no longer run or change what its caller is told.
+    fn is_finished(&self, boots: &[u64; 2]) -> bool {
         let dead = self.holder.boot != boots[self.holder.node as usize];
-        !self.ready && (self.ran || dead || self.told.is_some())
+        !self.ready && (self.ran || dead || self.outcome.is_some())
     }
 
-    fn lied(&self) -> bool {
-        let refused = [Told::NotRun, Told::Busy, Told::CutOff, Told::Full];
-        self.ran && self.told.is_some_and(|told| refused.contains(&told))
+    fn is_false_refusal(&self) -> bool {
+        let refused = [
+            Outcome::NotRun,
+            Outcome::Busy,
+            Outcome::CutOff,
+            Outcome::Full,
+        ];
+        self.ran
+            && self
+                .outcome
+                .is_some_and(|outcome| refused.contains(&outcome))
     }
 }
 
 impl Bits {
     const KINDS: u32 = 4;
 
-    fn add(&mut self, place: usize, kind: u32) {
-        self.0 |= 1 << (place as u32 * Self::KINDS + kind);
+    fn add(&mut self, index: usize, kind: u32) {
+        self.0 |= 1 << (index as u32 * Self::KINDS + kind);
     }
 
     fn iter(self) -> impl Iterator<Item = (usize, u32)> {
@@ -305,12 +321,12 @@
         UNIT * self.time
     }
 
-    fn runs(&self, key: u8) -> usize {
+    fn run_count(&self, key: u8) -> usize {
         let own = self.sends.iter().filter(|send| send.key == key && send.ran);
         own.count()
     }
 
-    fn but(&self, change: impl Fn(&mut Self)) -> Self {
+    fn with(&self, change: impl Fn(&mut Self)) -> Self {
         let mut next = self.clone();
         change(&mut next);
         next
@@ -322,41 +338,41 @@
             boot: self.boots[node],
             request: self.sends.len() as u64,
         };
-        self.sends.push(Send {
+        self.sends.push(SendRecord {
             key,
             holder,
-            ready: !scope.claimed,
+            ready: !scope.use_claims,
             ran: false,
-            told: None,
+            outcome: None,
         });
-        if scope.claimed {
-            let ask = Ask {
+        if scope.use_claims {
+            let claim = ClaimRequest {
                 request: holder.request,
                 service: "s".into(),
                 key: key.to_string().into(),
                 window: scope.terms().window,
-                patience: UNIT,
+                answer_timeout: UNIT,
             };
-            self.feed(node, Input::Ask(ask));
+            self.step_node(node, Input::Claim(claim));
         }
     }
 
-    /// Time passes; a node that isn't awake notices nothing.
+    /// Advances time; a node that isn't awake gets no tick.
     ///
-    /// A tick that tells no caller anything is left out: it only proposes again what the network
-    /// has, and forgets ended requests, which is as if their late copies were lost.
-    fn pass(&mut self, awake: [bool; 2]) {
+    /// A tick that answers no caller is left out. It only proposes commands again that the network
+    /// already has, and removes records of ended requests, which equals the loss of late copies.
+    fn advance(&mut self, awake: [bool; 2]) {
         self.time += 1;
         for (node, awake) in awake.into_iter().enumerate() {
             let outputs = self.nodes[node].clone().step(self.now(), Input::Tick);
-            let tells = |output: &Output| matches!(output, Output::Answer { .. });
-            if awake && outputs.iter().any(tells) {
-                self.feed(node, Input::Tick);
+            let answers_caller = |output: &Output| matches!(output, Output::Answer { .. });
+            if awake && outputs.iter().any(answers_caller) {
+                self.step_node(node, Input::Tick);
             }
         }
     }
 
-    fn feed(&mut self, node: usize, input: Input) {
+    fn step_node(&mut self, node: usize, input: Input) {
         let now = self.now();
         for output in self.nodes[node].step(now, input) {
             match output {
@@ -372,38 +388,38 @@
         self.network.add(claim.holder.request as usize, kind);
     }
 
-    fn hear(&mut self, place: usize, answer: &ClaimAnswer) {
-        let holder = self.sends[place].holder;
+    fn deliver_answer(&mut self, index: usize, answer: &ClaimAnswer) {
+        let holder = self.sends[index].holder;
         let effect = Effect::Claim(answer.clone());
         let input = Input::Applied { holder, effect };
-        self.feed(holder.node as usize, input);
+        self.step_node(holder.node as usize, input);
     }
 
     fn answer(&mut self, request: u64, answer: &ClaimAnswer) {
         let send = &mut self.sends[request as usize];
-        let told = match answer {
+        let outcome = match answer {
             ClaimAnswer::Granted => {
                 send.ready = true;
                 return;
             }
-            ClaimAnswer::Busy { .. } => Told::Busy,
-            ClaimAnswer::Spent => Told::Unknown,
-            ClaimAnswer::Full => Told::Full,
-            ClaimAnswer::CutOff => Told::CutOff,
+            ClaimAnswer::Busy { .. } => Outcome::Busy,
+            ClaimAnswer::Spent => Outcome::Unknown,
+            ClaimAnswer::Full => Outcome::Full,
+            ClaimAnswer::CutOff => Outcome::CutOff,
         };
-        send.told = Some(told);
+        send.outcome = Some(outcome);
     }
 
-    fn end(&mut self, place: usize, told: Told) {
-        let send = &mut self.sends[place];
-        send.told = Some(told);
+    fn end_send(&mut self, index: usize, outcome: Outcome) {
+        let send = &mut self.sends[index];
+        send.outcome = Some(outcome);
         send.ready = false;
         let (holder, ran) = (send.holder, send.ran);
         let request = holder.request;
-        self.feed(holder.node as usize, Input::Settle { request, ran });
+        self.step_node(holder.node as usize, Input::Settle { request, ran });
     }
 
-    /// The node's process dies and starts again; its callers hear nothing.
+    /// The node's process crashes and restarts; its callers get no answer.
     fn crash(&mut self, node: usize, scope: &Scope) {
         self.crashes -= 1;
         self.boots[node] += 1;
@@ -414,10 +430,10 @@
     }
 
     fn commit(&mut self, terms: &Terms) {
-        let Some((at, place, kind)) = self.pending.take() else {
+        let Some((at, index, kind)) = self.pending.take() else {
             return;
         };
-        let send = &self.sends[place];
+        let send = &self.sends[index];
         let claim = Claim {
             holder: send.holder,
             service: "s".into(),
@@ -429,6 +445,6 @@
         let answer = self.table.claim(at, terms, &claim);
         let same = |known: &&ClaimAnswer| discriminant(*known) == discriminant(&answer);
         let bit = ANSWERS.iter().take_while(|known| !same(known)).count();
-        self.effects.add(place, bit as u32);
+        self.effects.add(index, bit as u32);
     }
 }
--- a/tests/claims/shared.rs
+++ b/tests/claims/shared.rs
@@ -1,4 +1,4 @@
-//! The claims as part of the shared state.
+//! Tests of the claims as part of the replicated state.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
     types::{NodeId, Wall},
 };
 
-fn declared() -> State {
+fn state_with_service() -> State {
     let mut fleet = Declaration::default();
     fleet.pools.insert("p".into(), PoolSpec::default());
     fleet.presets.insert("calm".into(), PresetSpec::default());
@@ -44,29 +44,29 @@
     }
 }
 
-fn tell(state: &mut State, second: u64, command: claims::Command) -> Reply {
+fn apply(state: &mut State, second: u64, command: claims::Command) -> Reply {
     let at = Wall::from_secs(second);
     state.apply(second, &Command::system(at, Event::Key(command)))
 }
 
-fn answered(answer: ClaimAnswer) -> Reply {
+fn claimed(answer: ClaimAnswer) -> Reply {
     Reply::Claimed { answer }
 }
 
 #[test]
-fn a_claim_outlives_a_restart_and_is_forgotten_by_the_time_of_any_command() {
-    let mut state = declared();
+fn a_claim_survives_a_snapshot_and_expires_by_the_time_of_any_command() {
+    let mut state = state_with_service();
     let first = claims::Command::Claim(claim(1, "s"));
-    assert_eq!(tell(&mut state, 10, first), answered(ClaimAnswer::Granted));
+    assert_eq!(apply(&mut state, 10, first), claimed(ClaimAnswer::Granted));
 
     let mut state = State::from_image(&state.image()).unwrap();
     let resend = claims::Command::Claim(claim(2, "s"));
     let after = Duration::from_secs(5);
-    let busy = answered(ClaimAnswer::Busy { after });
-    assert_eq!(tell(&mut state, 15, resend.clone()), busy);
-    assert_eq!(tell(&mut state, 20, resend), answered(ClaimAnswer::Spent));
+    let busy = claimed(ClaimAnswer::Busy { after });
+    assert_eq!(apply(&mut state, 15, resend.clone()), busy);
+    assert_eq!(apply(&mut state, 20, resend), claimed(ClaimAnswer::Spent));
 
-    tell(
+    apply(
         &mut state,
         4000,
         claims::Command::Claim(claim(1, "unknown")),
@@ -76,28 +76,32 @@
 
 #[test]
 fn a_key_that_provably_did_not_run_is_free_again() {
-    let mut state = declared();
-    tell(&mut state, 10, claims::Command::Claim(claim(1, "s")));
+    let mut state = state_with_service();
+    apply(&mut state, 10, claims::Command::Claim(claim(1, "s")));
     let settle = claims::Command::Settle {
         claim: claim(1, "s"),
         ran: false,
     };
-    assert_eq!(tell(&mut state, 11, settle), Reply::Noted);
+    assert_eq!(apply(&mut state, 11, settle), Reply::Noted);
     let resend = claims::Command::Claim(claim(2, "s"));
-    assert_eq!(tell(&mut state, 12, resend), answered(ClaimAnswer::Granted));
+    assert_eq!(apply(&mut state, 12, resend), claimed(ClaimAnswer::Granted));
 }
 
 #[test]
 fn a_key_of_an_undeclared_service_is_not_claimed() {
-    let refused = tell(&mut declared(), 10, claims::Command::Claim(claim(1, "t")));
+    let refused = apply(
+        &mut state_with_service(),
+        10,
+        claims::Command::Claim(claim(1, "t")),
+    );
     let service = "t".into();
     assert_eq!(refused, Reply::Refused(Refusal::NoService { service }));
 }
 
 #[test]
-fn an_image_from_before_there_were_claims_is_read() {
-    let mut image: Value = ciborium::from_reader(&declared().image()[..]).unwrap();
-    let fields = image.as_map_mut().unwrap();
+fn a_snapshot_without_claims_is_read() {
+    let mut snapshot: Value = ciborium::from_reader(&state_with_service().image()[..]).unwrap();
+    let fields = snapshot.as_map_mut().unwrap();
     let state = fields
         .iter_mut()
         .find(|(name, _)| name.as_text() == Some("state"));
@@ -106,6 +110,6 @@
     fields.retain(|(name, _)| name.as_text() != Some("claims"));
     assert_eq!(fields.len(), before - 1);
     let mut bytes = Vec::new();
-    ciborium::into_writer(&image, &mut bytes).unwrap();
-    assert_eq!(State::from_image(&bytes).unwrap(), declared());
+    ciborium::into_writer(&snapshot, &mut bytes).unwrap();
+    assert_eq!(State::from_image(&bytes).unwrap(), state_with_service());
 }
--- a/tests/routing/outcomes.rs
+++ b/tests/routing/outcomes.rs
@@ -1,7 +1,7 @@
 //! Each caller is told the truth, once.
 
 use egretpin::core::{
-    claims::scoped,
+    claims::scoped_key,
     dispatch::{Arrival, AttemptEnd, ClaimAnswer, Input, Output},
     outcome::{NotRun, Outcome, Unknown},
 };
@@ -140,7 +140,7 @@
     let settled = |request, ran| Output::Settle {
         request,
         service: "plain".into(),
-        key: scoped(&"group".into(), &"k".into()),
+        key: scoped_key(&"group".into(), &"k".into()),
         ran,
     };
     let granted = |request| Input::Claim {
