--- a/src/core/workload/catalog.rs
+++ b/src/core/workload/catalog.rs
@@ -152,7 +152,7 @@
         prefix: Name,
     },
     /// Two queues or pools share a name.
-    #[snafu(display("the name {name} is declared twice"))]
+    #[snafu(display("the name {name} is given twice"))]
     DuplicateName {
         /// The name.
         name: Name,
@@ -180,13 +180,13 @@
         second: WorkspaceId,
     },
     /// A workspace is declared twice.
-    #[snafu(display("workspace {workspace} is declared twice"))]
+    #[snafu(display("workspace {workspace} is given twice"))]
     DuplicateWorkspace {
         /// The workspace.
         workspace: WorkspaceId,
     },
     /// A workspace has a key twice.
-    #[snafu(display("workspace {workspace} lists a key twice; list each key once"))]
+    #[snafu(display("workspace {workspace} has a key twice; give each once"))]
     DuplicateKey {
         /// The workspace.
         workspace: WorkspaceId,
@@ -218,7 +218,7 @@
 /// A call on a queue that requires a key presented none, or one that no workspace has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
-#[snafu(display("the queue requires the key of a workspace"))]
+#[snafu(display("the queue asks for a key of a workspace"))]
 pub struct Denied;
 
 /// What the rest of a path, after the prefix of its queue, refers to.
--- a/src/core/workload/spec.rs
+++ b/src/core/workload/spec.rs
@@ -112,13 +112,13 @@
 #[snafu(visibility(pub(crate)))]
 pub enum SpecError {
     /// The payload is too long.
-    #[snafu(display("the payload has {length} bytes; at most {MAX_PAYLOAD_BYTES} are allowed"))]
+    #[snafu(display("the payload has {length} bytes; at most {MAX_PAYLOAD_BYTES} are taken"))]
     Payload {
         /// The length of the payload in bytes.
         length: usize,
     },
     /// The job has no steps, or too many.
-    #[snafu(display("the job has {count} steps; 1 to {MAX_STEPS} are allowed"))]
+    #[snafu(display("{count} steps; a job has 1 to {MAX_STEPS}"))]
     Steps {
         /// The number of steps.
         count: usize,
@@ -130,10 +130,10 @@
         step: usize,
     },
     /// The job has too many tasks.
-    #[snafu(display("the job has more than {MAX_TASKS} tasks; split it into several jobs"))]
+    #[snafu(display("more than {MAX_TASKS} tasks; split the job"))]
     Tasks,
     /// A step depends on itself or on a later one.
-    #[snafu(display("step {step} depends on step {on}; a step may depend only on earlier steps"))]
+    #[snafu(display("step {step} depends on step {on}; name earlier steps only"))]
     Order {
         /// The step.
         step: usize,
--- a/tests/workload/workspaces.rs
+++ b/tests/workload/workspaces.rs
@@ -108,12 +108,12 @@
     let twice = catalog(vec![workspace("a", &["ka"]), workspace("a", &["kb"])]);
     assert_eq!(
         twice.check().unwrap_err().to_string(),
-        "workspace a is declared twice"
+        "workspace a is given twice"
     );
     let repeated = catalog(vec![workspace("a", &["ka", "ka"])]);
     assert_eq!(
         repeated.check().unwrap_err().to_string(),
-        "workspace a lists a key twice; list each key once"
+        "workspace a has a key twice; give each once"
     );
     assert_eq!(two().check(), Ok(()));
 }
